--- a/core/src/main/java/ledgewall/DueQueue.java
+++ b/core/src/main/java/ledgewall/DueQueue.java
@@ -5,57 +5,59 @@
 import java.util.PriorityQueue;
 
 /**
- * What is due when: each item at most once, at the time given last. Putting an item and taking one cost the logarithm of
- * their number, and asking whether anything is due costs the same however many there are. What is removed before its time
- * takes no memory until then.
+ * A queue of items by due time, with each item in it at most once, at the time given last. Putting and taking an item cost the
+ * logarithm of the number of items, and asking whether one is due takes constant time. Items that were removed before they
+ * were due are compacted away instead of using memory until their due time.
  */
 final class DueQueue<T> {
-    private record Entry<T>(long at, long number, T item) implements Comparable<Entry<T>> {
+    private record Entry<T>(long dueAt, long sequence, T item) implements Comparable<Entry<T>> {
         @Override
         public int compareTo(Entry<T> other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(sequence, other.sequence);
         }
     }
 
-    private static final int LEAST_COMPACTED = 64;
+    /** Below this number of entries none are compacted away. */
+    private static final int MIN_COMPACTED_ENTRIES = 64;
 
     private final PriorityQueue<Entry<T>> entries = new PriorityQueue<>();
-    private final Map<T, Entry<T>> current = new HashMap<>();
-    private long number;
+    private final Map<T, Entry<T>> latestEntries = new HashMap<>();
+    private long nextSequence;
 
-    /** Has the item due at that time, and at no other. */
-    void put(T item, long at) {
-        Entry<T> entry = new Entry<>(at, number++, item);
-        Entry<T> before = current.put(item, entry);
-        if (before == null || before.at() > at) {
-            entries.add(entry); // an earlier entry waits here, and is put off when its time has come
+    /** Makes the item due at {@code dueAt} only, whatever was given before. */
+    void put(T item, long dueAt) {
+        Entry<T> entry = new Entry<>(dueAt, nextSequence++, item);
+        Entry<T> before = latestEntries.put(item, entry);
+        if (before == null || before.dueAt() > dueAt) {
+            entries.add(entry); // an earlier entry stays in the heap and is put back at the later time when it comes up
         } else {
-            current.put(item, new Entry<>(at, before.number(), item));
+            latestEntries.put(item, new Entry<>(dueAt, before.sequence(), item));
         }
     }
 
     void remove(T item) {
-        if (current.remove(item) != null && entries.size() > LEAST_COMPACTED && entries.size() > 2 * current.size()) {
-            entries.removeIf(entry -> !isLatest(entry));
+        if (latestEntries.remove(item) != null && entries.size() > MIN_COMPACTED_ENTRIES
+                && entries.size() > 2 * latestEntries.size()) {
+            entries.removeIf(entry -> !isCurrent(entry));
         }
     }
 
-    /** Whether the entry stands for its item: others were removed, or put earlier since. */
-    private boolean isLatest(Entry<T> entry) {
-        Entry<T> latest = current.get(entry.item());
-        return latest != null && latest.number() == entry.number();
+    /** Whether this entry still represents its item, which was neither removed nor put at an earlier time since. */
+    private boolean isCurrent(Entry<T> entry) {
+        Entry<T> latest = latestEntries.get(entry.item());
+        return latest != null && latest.sequence() == entry.sequence();
     }
 
-    /** Takes the item that has been due for longest by now, or null. */
+    /** Removes and returns the item that has been due for longest, or returns null if none is due. */
     T poll(long now) {
-        while (!entries.isEmpty() && entries.peek().at() <= now) {
+        while (!entries.isEmpty() && entries.peek().dueAt() <= now) {
             Entry<T> entry = entries.poll();
-            if (!isLatest(entry)) {
+            if (!isCurrent(entry)) {
                 continue;
             }
-            Entry<T> latest = current.get(entry.item());
-            if (latest.at() <= now) {
-                current.remove(entry.item());
+            Entry<T> latest = latestEntries.get(entry.item());
+            if (latest.dueAt() <= now) {
+                latestEntries.remove(entry.item());
                 return entry.item();
             }
             entries.add(latest);
@@ -63,8 +65,8 @@
         return null;
     }
 
-    /** Entries held, those that stand for nothing any more included. */
-    int size() {
+    /** The number of entries in memory, including outdated ones. */
+    int entryCount() {
         return entries.size();
     }
 }
--- a/core/src/main/java/ledgewall/Group.java
+++ b/core/src/main/java/ledgewall/Group.java
@@ -6,31 +6,31 @@
 /** Members that hold the same data: one primary and its replicas. All times are nanoseconds. */
 final class Group {
     final List<Member> members = new ArrayList<>();
-    /** Requests that wait until a member may take them. */
-    final List<Request> held = new ArrayList<>();
-    /** The member last seen as primary, or null, and when it was. */
+    /** Requests that wait for a member that may serve them. */
+    final List<Request> queued = new ArrayList<>();
+    /** The member last seen as primary, or null. */
     Member primary;
-    long primaryAt = Long.MIN_VALUE;
-    /** When a held write may next ask a member whether it is primary. */
-    long askDue = Long.MIN_VALUE;
-    /** When the last two requests came. */
-    long askedAt = Member.LONG_AGO;
-    long askedBefore = Member.LONG_AGO;
-    /** Probes sent to find the primary since it was last known. */
-    int searches;
+    /** The time of the newest evidence about the primary. */
+    long primaryAsOf = Long.MIN_VALUE;
+    /** The earliest time at which a queued write may be sent to a member that may turn out not to be the primary. */
+    long nextPrimaryTrialAt = Long.MIN_VALUE;
+    long lastRequestAt = Member.LONG_AGO;
+    long previousRequestAt = Member.LONG_AGO;
+    /** Probes sent in search of the primary since the last evidence about it. */
+    int primarySearchProbes;
 
     void onRequest(long now) {
-        askedBefore = askedAt;
-        askedAt = now;
+        previousRequestAt = lastRequestAt;
+        lastRequestAt = now;
     }
 
-    /** Whether no write can be sent: no primary is known, or it is not well. */
-    boolean lacksPrimary() {
+    /** Whether no write can be sent: no primary is known, or it is unreachable, not serving or suspected. */
+    boolean lacksHealthyPrimary() {
         return primary == null || !primary.isUsable() || primary.suspectSince != RoutingPolicy.NONE;
     }
 
-    /** Whether its requests come further apart than that. */
-    boolean isAskedLessOftenThan(long span) {
-        return askedAt - askedBefore > span;
+    /** Whether its last two requests came further apart than {@code interval}. */
+    boolean hasRequestGapOver(long interval) {
+        return lastRequestAt - previousRequestAt > interval;
     }
 }
--- a/core/src/main/java/ledgewall/MachineKind.java
+++ b/core/src/main/java/ledgewall/MachineKind.java
@@ -1,51 +1,52 @@
 package ledgewall;
 
 /**
- * What members of one kind of machine have in common: how much of their aims their answers take, and the best mean rate at
- * which usable, warm members have served this router. Rates are exponentially weighted, in units of mean work a second;
- * times are nanoseconds. The sum is kept as members join and leave, so no call looks at the members one by one.
+ * What members of one kind of machine have in common: their answers' mean latency as a part of its target, and the highest
+ * mean rate at which usable, warm members have served this router. Rates are exponentially decaying sums of served work, in
+ * units of the mean work of a request per second; times are nanoseconds. The sum over members is updated as members join and
+ * leave, so that no call iterates over the members.
  */
 final class MachineKind {
-    /** Time constant of served rates, in nanoseconds. */
-    static final double RATE_TIME = 4e9;
+    /** Time constant of the decay of served rates, in nanoseconds. */
+    static final double RATE_TIME_CONSTANT = 4e9;
 
-    double strain;
+    double latencyRatio;
     private double peakRate;
     private double sumOfRates;
-    private long summedAt;
-    private int members;
+    private long sumAsOf;
+    private int memberCount;
 
-    MachineKind(double strain) {
-        this.strain = strain;
+    MachineKind(double latencyRatio) {
+        this.latencyRatio = latencyRatio;
     }
 
-    /** A rate of {@code rate} at {@code since}, decayed to {@code now}. */
-    static double decayed(double rate, long since, long now) {
-        return rate == 0 ? 0 : rate * Math.exp((since - now) / RATE_TIME);
+    /** What a rate that was {@code rate} at {@code asOf} has decayed to at {@code now}. */
+    static double decayed(double rate, long asOf, long now) {
+        return rate == 0 ? 0 : rate * Math.exp((asOf - now) / RATE_TIME_CONSTANT);
     }
 
-    /** A member with this rate counts from now on. */
-    void join(double rate, long now) {
-        members++;
-        add(rate, now);
+    /** Includes a member that has this served rate. */
+    void addMember(double rate, long now) {
+        memberCount++;
+        addRate(rate, now);
     }
 
-    /** A member with this rate counts no longer. */
-    void leave(double rate, long now) {
-        members--;
-        add(-rate, now);
+    /** Excludes a member that has this served rate. */
+    void removeMember(double rate, long now) {
+        memberCount--;
+        addRate(-rate, now);
     }
 
-    /** A member that counts has served so much more. */
-    void add(double rate, long now) {
-        sumOfRates = members == 0 ? 0 : Math.max(0, decayed(sumOfRates, summedAt, now) + rate);
-        summedAt = now;
-        if (members > 0) {
-            peakRate = Math.max(peakRate, sumOfRates / members);
+    /** Adds to the served rate of an included member. */
+    void addRate(double rate, long now) {
+        sumOfRates = memberCount == 0 ? 0 : Math.max(0, decayed(sumOfRates, sumAsOf, now) + rate);
+        sumAsOf = now;
+        if (memberCount > 0) {
+            peakRate = Math.max(peakRate, sumOfRates / memberCount);
         }
     }
 
-    /** The best mean rate of a member so far. */
+    /** The highest mean rate per member so far. */
     double peakRate() {
         return peakRate;
     }
--- a/core/src/main/java/ledgewall/Request.java
+++ b/core/src/main/java/ledgewall/Request.java
@@ -4,36 +4,41 @@
 import java.util.List;
 import ledgewall.RoutingPolicy.*;
 
-/** A request until its last attempt is accounted for. All times are nanoseconds. */
+/** A request, from its arrival until its last attempt has ended. All times are nanoseconds. */
 final class Request {
     final Arrival arrival;
-    final RequestClass kind;
+    final RequestClass requestClass;
     final Group group;
-    /** When its client first asked, as far as that is known. */
-    final long at;
-    /** When it ends whatever is out, and when its last attempt may begin. */
-    final long end;
-    final long lastSend;
-    /** The position that a member has to have reached for a read that must see a write. */
-    final long needed;
-    final List<Member> tried = new ArrayList<>();
+    /** When its client first sent it, as far as that is known. */
+    final long firstRequestedAt;
+    /** When it ends even with an attempt in flight. */
+    final long deadline;
+    /** No attempt starts at or after this time. */
+    final long sendDeadline;
+    /** The position that a member must have reached for a read that must see a write. */
+    final long requiredPosition;
+    final List<Member> triedMembers = new ArrayList<>();
+    /** By number; those that have ended are null. */
     final List<Attempt> attempts = new ArrayList<>();
-    /** The attempt that is out, and the first that may have run. */
-    Attempt out;
-    Attempt mayHaveRun;
-    /** The replica that was asked for its position on behalf of this read, or null. */
-    Member asked;
-    boolean begun;
-    boolean over;
+    /** The attempt in flight, or null. */
+    Attempt currentAttempt;
+    /** The first attempt that ended without telling whether it was executed, or null. */
+    Attempt possiblyExecuted;
+    /** The replica that was probed for its position on behalf of this read, or null. */
+    Member probedReplica;
+    boolean answerStarted;
+    /** Whether it has been answered or abandoned. */
+    boolean finished;
 
-    Request(Arrival arrival, RequestClass kind, Group group, long at, long end, long lastSend, long needed) {
+    Request(Arrival arrival, RequestClass requestClass, Group group, long firstRequestedAt, long deadline, long sendDeadline,
+            long requiredPosition) {
         this.arrival = arrival;
-        this.kind = kind;
+        this.requestClass = requestClass;
         this.group = group;
-        this.at = at;
-        this.end = end;
-        this.lastSend = lastSend;
-        this.needed = needed;
+        this.firstRequestedAt = firstRequestedAt;
+        this.deadline = deadline;
+        this.sendDeadline = sendDeadline;
+        this.requiredPosition = requiredPosition;
     }
 
     long id() {
--- a/core/src/main/java/ledgewall/TokenBucket.java
+++ b/core/src/main/java/ledgewall/TokenBucket.java
@@ -1,31 +1,31 @@
 package ledgewall;
 
-/** A rate limit with a burst. Times are nanoseconds on a clock that never goes back. */
+/** A rate limit that allows bursts. Times are nanoseconds on a monotonic clock. */
 final class TokenBucket {
-    private static final double SECOND = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    private final double perSecond;
-    private final double burst;
+    private final double tokensPerSecond;
+    private final double capacity;
     private double tokens;
-    private long filledAt;
+    private long refilledAt;
 
-    /** Full at first: {@code burst} tokens, and {@code perSecond} more each second up to that. */
-    TokenBucket(double perSecond, double burst, long now) {
-        this.perSecond = perSecond;
-        this.burst = burst;
-        this.tokens = burst;
-        this.filledAt = now;
+    /** Starts full, with {@code capacity} tokens, and gains {@code tokensPerSecond} up to that number. */
+    TokenBucket(double tokensPerSecond, double capacity, long now) {
+        this.tokensPerSecond = tokensPerSecond;
+        this.capacity = capacity;
+        this.tokens = capacity;
+        this.refilledAt = now;
     }
 
-    /** Adds tokens that come with something other than time. */
+    /** Adds tokens independently of time, as for each request. */
     void add(double count) {
-        tokens = Math.min(burst, tokens + count);
+        tokens = Math.min(capacity, tokens + count);
     }
 
-    /** Takes a token; false, and nothing taken, if there is none. */
+    /** Takes one token, or returns false and takes none if less than one is left. */
     boolean tryTake(long now) {
-        tokens = Math.min(burst, tokens + perSecond * (now - filledAt) / SECOND);
-        filledAt = now;
+        tokens = Math.min(capacity, tokens + tokensPerSecond * (now - refilledAt) / NANOS_PER_SECOND);
+        refilledAt = now;
         if (tokens < 1) {
             return false;
         }
