--- a/core/src/main/java/ledgewall/Freshness.java
+++ b/core/src/main/java/ledgewall/Freshness.java
@@ -2,76 +2,82 @@
 
 import ledgewall.RoutingPolicy.*;
 
-/** Which members have data that is new enough for a read, as far as this router can know. */
+/** Decides which members have data that is new enough for a read, from the positions that this router knows. */
 final class Freshness {
-    /** Part of a bound from which a lag is near it, probed anew, and below which it is taken to hold on. */
+    /**
+     * A part of the staleness bound: a lag above it is near the bound and is probed again; a lag below it is assumed to stay
+     * within the bound.
+     */
     private static final double NEAR_BOUND = 0.33;
 
-    private final Data data;
-    private final boolean probesTell;
-    /** Whether so many routers share the members that each asks for a position only when a read has need of it. */
+    private final ReplicationSettings replication;
+    private final boolean probesReportPosition;
+    /** Whether so many routers share the members that each asks for a position only when a read requires it. */
     private final boolean manyRouters;
-    /** How long a position that was heard tells something, in nanoseconds. */
-    private final long evidenceLasts;
-    private final long tightestBound;
+    /** How long a reported position is used, in nanoseconds. */
+    private final long positionLifetime;
+    /** The smallest staleness bound of any class, in nanoseconds. */
+    private final long smallestBound;
 
-    Freshness(Settings settings, boolean shared) {
-        this.data = settings.data();
-        this.probesTell = settings.limits().probes() && settings.data().probesTellPosition();
-        this.manyRouters = settings.routers() > ProbeScheduler.HANDFUL;
-        this.evidenceLasts = (shared ? 2 : 1) * ProbeScheduler.PERIOD + ProbeScheduler.URGENT_GAP;
-        this.tightestBound = settings.classes().stream().filter(c -> c.need() == Need.BOUNDED)
+    Freshness(Settings settings, boolean sharesObservations) {
+        this.replication = settings.replication();
+        this.probesReportPosition = settings.limits().probing() && settings.replication().probesReportPosition();
+        this.manyRouters = settings.routerCount() > ProbeScheduler.MAX_INDEPENDENT_ROUTERS;
+        this.positionLifetime = (sharesObservations ? 2 : 1) * ProbeScheduler.ROUND_PERIOD + ProbeScheduler.URGENT_PROBE_GAP;
+        this.smallestBound = settings.classes().stream().filter(c -> c.consistency() == Consistency.BOUNDED)
             .mapToLong(RequestClass::stalenessBound).min().orElse(Long.MAX_VALUE);
     }
 
     boolean isEligible(Request request, Member member, long now) {
-        long bound = request.kind.stalenessBound();
-        return member == request.group.primary || switch (request.kind.need()) {
+        long bound = request.requestClass.stalenessBound();
+        return member == request.group.primary || switch (request.requestClass.consistency()) {
             case ANY, WRITE -> true;
-            case FRESH, SESSION -> member.position >= request.needed;
+            case FRESH, SESSION -> member.position >= request.requiredPosition;
             case BOUNDED -> member.position >= now - bound || lag(member, now) < NEAR_BOUND * bound
-                || triesUnproven(request) && !hasEvidence(member, now) && !hasMissed(member, now);
+                || allowsUnknownPosition(request) && !hasRecentPosition(member, now) && !refusedStaleReadRecently(member, now);
         };
     }
 
     /** Whether only the primary can serve a request. */
-    boolean needsPrimary(Request request) {
-        return request.kind.need() == Need.WRITE || request.kind.need() == Need.FRESH
-            || request.kind.need() != Need.ANY && !triesUnproven(request) && !isProvenByProbe(request);
+    boolean requiresPrimary(Request request) {
+        return request.requestClass.consistency() == Consistency.WRITE || request.requestClass.consistency() == Consistency.FRESH
+            || request.requestClass.consistency() != Consistency.ANY && !allowsUnknownPosition(request)
+            && !usesPositionProbe(request);
     }
 
-    /** Whether a replica is asked for its position on behalf of a read; a handful of routers know positions anyway. */
-    boolean isProvenByProbe(Request request) {
-        return manyRouters && probesTell && (request.kind.need() == Need.SESSION
-            || request.kind.need() == Need.BOUNDED && !triesUnproven(request));
+    /** Whether a replica is probed for its position on behalf of a read; a few routers know all positions without that. */
+    boolean usesPositionProbe(Request request) {
+        return manyRouters && probesReportPosition && (request.requestClass.consistency() == Consistency.SESSION
+            || request.requestClass.consistency() == Consistency.BOUNDED && !allowsUnknownPosition(request));
     }
 
     /**
-     * Whether a replica of which nothing is known may be tried: members refuse stale reads themselves, untouched, and a
-     * miss costs a round trip. Harm: a read that meets a lagging replica comes to the next one some milliseconds later.
+     * Whether a replica of unknown position may be tried: where members refuse stale reads without executing them, a wrong
+     * choice costs a round trip. Drawback: a read that meets a lagging replica reaches the next one some milliseconds later.
      */
-    private boolean triesUnproven(Request request) {
-        return request.kind.need() == Need.BOUNDED && data.behind() == Behind.REFUSES;
+    private boolean allowsUnknownPosition(Request request) {
+        return request.requestClass.consistency() == Consistency.BOUNDED
+            && replication.staleReadHandling() == StaleReadHandling.REFUSES;
     }
 
-    /** Whether reads of the tightest bound may soon miss at the member, so that its position is worth a probe. */
-    boolean isNearBound(Member member, long now) {
-        boolean tells = data.behind() == Behind.REFUSES ? hasEvidence(member, now) || hasMissed(member, now) : !manyRouters;
-        return tells && data.probesTellPosition() && lag(member, now) > NEAR_BOUND * tightestBound;
+    /** Whether reads of the smallest bound may soon be refused or stale at the member, so that its position is worth a probe. */
+    boolean isNearStalenessBound(Member member, long now) {
+        boolean lagIsKnown = replication.staleReadHandling() == StaleReadHandling.REFUSES
+            ? hasRecentPosition(member, now) || refusedStaleReadRecently(member, now) : !manyRouters;
+        return lagIsKnown && replication.probesReportPosition() && lag(member, now) > NEAR_BOUND * smallestBound;
     }
 
-    /** Whether anything was heard of the member's position that still tells something. */
-    private boolean hasEvidence(Member member, long now) {
-        return member.positionAt > now - evidenceLasts;
+    private boolean hasRecentPosition(Member member, long now) {
+        return member.positionAsOf > now - positionLifetime;
     }
 
-    private static boolean hasMissed(Member member, long now) {
-        return now < member.missedAt + ProbeScheduler.PERIOD;
+    private static boolean refusedStaleReadRecently(Member member, long now) {
+        return now < member.staleReadRefusedAt + ProbeScheduler.ROUND_PERIOD;
     }
 
-    /** Where members refuse stale reads themselves, a lag is taken to hold on until the next probe. */
+    /** The member's replication lag; where members do not serve stale reads, it is assumed constant until the next probe. */
     private long lag(Member member, long now) {
-        boolean holds = data.behind() != Behind.ANSWERS && hasEvidence(member, now);
-        return (holds ? member.positionAt : now) - member.position;
+        boolean assumedConstant = replication.staleReadHandling() != StaleReadHandling.SERVES && hasRecentPosition(member, now);
+        return (assumedConstant ? member.positionAsOf : now) - member.position;
     }
 }
--- a/core/src/main/java/ledgewall/ProbeScheduler.java
+++ b/core/src/main/java/ledgewall/ProbeScheduler.java
@@ -7,241 +7,242 @@
 import ledgewall.RoutingPolicy.*;
 
 /**
- * Decides when a member is probed: in rounds of some pings, urgently where a request has need of it, and in search of a
- * group's primary. How many probes there are goes by the requests that came, beside a small part of the fleet's total: it
- * hardly grows with the number of members, and what nobody asks about is probed rarely.
+ * Decides when members are probed: in rounds of several probes, urgently where a request requires it, and in search of a
+ * group's primary. The number of probes follows the number of requests, apart from a small background rate for the whole
+ * fleet: it hardly grows with the number of members, and groups without requests are probed rarely.
  */
 final class ProbeScheduler {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
-    /** The paper's period and number of pings. */
-    static final long PERIOD = 5 * SECOND;
-    static final int PINGS = 3;
-    /** Gap between urgent probes of one member: some a second, few against its reads. */
-    static final long URGENT_GAP = 250 * MS;
-    /** A handful of routers probe each for themselves, as in the paper; more share the probes of one. */
-    static final int HANDFUL = 4;
-    /** Gap of a member that fails its probes, at most. */
-    private static final long LONGEST_URGENT_GAP = 2 * SECOND;
-    private static final int MOST_DOUBLINGS = 8;
-    /** A member that is asked for its role has so long to answer before the next one is asked beside it. */
-    private static final long SEARCH_HEDGE = 30 * MS;
-    /** How often the gap between such probes of one member doubles. */
-    private static final int MOST_SEARCH_DOUBLINGS = 2;
-    /** Rounds a second, of all routers together, that no request asks for, and how many of one router at once. */
-    private static final double FLEET_BACKGROUND_ROUNDS = 40;
-    private static final double MOST_BACKGROUND_BURST = 40;
-    private static final double LEAST_BACKGROUND_BURST = 4;
-    /** Probes that a request may bring about in the mean, and how many at once after a quiet time. */
+    /** Period of probe rounds and probes per round, as in the reference design (see {@link ReplicaRoutingPolicy}). */
+    static final long ROUND_PERIOD = 5 * SECOND;
+    static final int PROBES_PER_ROUND = 3;
+    /** Minimum gap between urgent probes of one member, in nanoseconds: a few per second, few compared to its reads. */
+    static final long URGENT_PROBE_GAP = 250 * MS;
+    /** Up to this many routers probe all members themselves, as in the reference design; more of them share results. */
+    static final int MAX_INDEPENDENT_ROUTERS = 4;
+    /** The longest gap between urgent probes of a member that fails them, and how often the gap may double, plus jitter. */
+    private static final long MAX_URGENT_PROBE_GAP = 2 * SECOND;
+    private static final int MAX_GAP_DOUBLINGS = 8;
+    /** The time that a member has to tell its role before the next member of its group is probed as well. */
+    private static final long SEARCH_HEDGE_DELAY = 30 * MS;
+    /** How often the gap between search probes of one member doubles. */
+    private static final int MAX_SEARCH_GAP_DOUBLINGS = 2;
+    /** Rounds per second of all routers together that no request triggers, and the limits of one router's burst. */
+    private static final double FLEET_BACKGROUND_ROUNDS_PER_SECOND = 40;
+    private static final double MAX_BACKGROUND_BURST = 40;
+    private static final double MIN_BACKGROUND_BURST = 4;
+    /** The mean number of probes that a request may trigger, and the largest burst after an idle time. */
     private static final double PROBES_PER_REQUEST = 0.25;
     private static final double DEMAND_BURST = 40;
-    /** Rounds that a request may bring about in the mean where routers do not share what they find. */
+    /** The mean number of rounds that a request may trigger where routers do not share results. */
     private static final double ROUNDS_PER_REQUEST = 0.1;
-    /** Findings a second that a router is to hear of all others; changes of a primary come beside them. */
-    private static final double FLEET_FINDINGS = 40;
-    private static final double FINDING_BURST = 10;
+    /** Observations per second that a router receives from all others; changes of a primary come in addition. */
+    private static final double FLEET_OBSERVATIONS_PER_SECOND = 40;
+    private static final double OBSERVATION_BURST = 10;
 
-    /** Members whose role was heard of longest ago first, of these the ones with a connection left. */
-    private static final Comparator<Member> LIKELIEST =
-        Comparator.<Member>comparingLong(m -> m.roleAt).thenComparingLong(m -> -m.contactedAt());
+    /** Members whose role was learned longest ago first, of these the ones that probably have an idle connection. */
+    private static final Comparator<Member> LIKELIEST_PRIMARY_FIRST =
+        Comparator.<Member>comparingLong(m -> m.roleAsOf).thenComparingLong(m -> -m.lastContactedAt());
 
     private final Settings settings;
     private final SplittableRandom random;
     private final Freshness freshness;
     private final Consumer<Action> actions;
-    private final boolean shared;
-    private final boolean many;
-    private final DueQueue<Member> rounds = new DueQueue<>();
-    private final DueQueue<Member> urgent = new DueQueue<>();
-    private final TokenBucket background;
-    private final TokenBucket demand;
-    private final TokenBucket findings;
+    private final boolean sharesObservations;
+    private final boolean manyRouters;
+    private final DueQueue<Member> dueRounds = new DueQueue<>();
+    private final DueQueue<Member> dueUrgentProbes = new DueQueue<>();
+    private final TokenBucket backgroundRounds;
+    private final TokenBucket demandProbes;
+    private final TokenBucket sharedObservations;
 
     ProbeScheduler(Settings settings, SplittableRandom random, Freshness freshness, Consumer<Action> actions, long now) {
         this.settings = settings;
         this.random = random;
         this.freshness = freshness;
         this.actions = actions;
-        this.shared = isShared(settings);
-        this.many = settings.routers() > HANDFUL;
-        double burst = MOST_BACKGROUND_BURST * Math.min(1, HANDFUL / (double) settings.routers());
-        this.background = new TokenBucket(FLEET_BACKGROUND_ROUNDS / settings.routers(),
-            Math.max(LEAST_BACKGROUND_BURST, burst), now);
-        this.demand = new TokenBucket(0, DEMAND_BURST, now);
-        this.findings = new TokenBucket(FLEET_FINDINGS / settings.routers(), FINDING_BURST, now);
+        this.sharesObservations = sharesObservations(settings);
+        this.manyRouters = settings.routerCount() > MAX_INDEPENDENT_ROUTERS;
+        double burst = MAX_BACKGROUND_BURST * Math.min(1, MAX_INDEPENDENT_ROUTERS / (double) settings.routerCount());
+        this.backgroundRounds = new TokenBucket(FLEET_BACKGROUND_ROUNDS_PER_SECOND / settings.routerCount(),
+            Math.max(MIN_BACKGROUND_BURST, burst), now);
+        this.demandProbes = new TokenBucket(0, DEMAND_BURST, now);
+        this.sharedObservations = new TokenBucket(FLEET_OBSERVATIONS_PER_SECOND / settings.routerCount(), OBSERVATION_BURST, now);
     }
 
-    /** Whether routers hand what their probes find on to one another. */
-    static boolean isShared(Settings settings) {
-        return settings.limits().peers() && settings.routers() > HANDFUL;
+    /** Whether routers send the results of their probes to one another. */
+    static boolean sharesObservations(Settings settings) {
+        return settings.limits().peerMessages() && settings.routerCount() > MAX_INDEPENDENT_ROUTERS;
     }
 
-    /** A member is listed as serving, of so many in all. */
-    void onServing(Member member, int members, long now) {
-        if (member.roundDue == Long.MIN_VALUE) {
-            member.roundDue = many ? now + random.nextLong(roundPeriod(members)) : now;
+    /** Schedules the rounds of a member that is listed as serving. */
+    void onListedServing(Member member, int memberCount, long now) {
+        if (member.nextRoundAt == Long.MIN_VALUE) {
+            member.nextRoundAt = manyRouters ? now + random.nextLong(roundPeriod(memberCount)) : now;
         }
-        rounds.put(member, member.roundDue);
+        dueRounds.put(member, member.nextRoundAt);
     }
 
-    /** A request has come: its group's members are probed where that is due or wanted. */
-    void onRequest(Request request, int members, long now) {
-        demand.add(PROBES_PER_REQUEST);
-        background.add(shared ? 0 : ROUNDS_PER_REQUEST);
-        request.group.members.forEach(member -> probeOnDemand(member, members, now));
-        if (freshness.needsPrimary(request)) {
+    /** Probes members of a new request's group where that is due or urgent. */
+    void onRequest(Request request, int memberCount, long now) {
+        demandProbes.add(PROBES_PER_REQUEST);
+        backgroundRounds.add(sharesObservations ? 0 : ROUNDS_PER_REQUEST);
+        request.group.members.forEach(member -> probeOnDemand(member, memberCount, now));
+        if (freshness.requiresPrimary(request)) {
             searchPrimary(request.group, now);
         }
     }
 
-    /** Another router has told of the member: this one puts its own probes off. */
-    void onNews(Member member, int members, long now) {
-        member.roundDue = nextRound(members, now);
-        member.urgentDue = member.down ? now : nextUrgent(member, now);
-        rounds.put(member, member.roundDue);
+    /** Postpones this router's own probes of a member that another router has reported on. */
+    void onPeerObservation(Member member, int memberCount, long now) {
+        member.nextRoundAt = nextRoundTime(memberCount, now);
+        member.nextUrgentProbeAt = member.unreachable ? now : nextUrgentTime(member, now);
+        dueRounds.put(member, member.nextRoundAt);
     }
 
-    /** A probe has ended without an answer. */
-    void onFailed(Member member, long now) {
+    void onProbeFailed(Member member, long now) {
         member.failedProbes++;
-        member.urgentDue = nextUrgent(member, now);
+        member.nextUrgentProbeAt = nextUrgentTime(member, now);
     }
 
-    /** A probe was answered: the next ping of its round follows at once. */
-    void onAnswered(Member member, long now) {
+    /** Sends the next probe of the member's round at once, if any is left. */
+    void onProbeAnswered(Member member, long now) {
         member.failedProbes = 0;
-        member.pingsLeft--;
-        if (member.pingsLeft > 0) {
+        member.probesLeftInRound--;
+        if (member.probesLeftInRound > 0) {
             probe(member, now);
         }
     }
 
-    /** Whether what a probe has found is to be handed on, changes of a primary before all else. */
-    boolean handsOn(Member member, boolean primaryChanged, long now) {
-        return shared && member.pingsLeft <= 0 && (primaryChanged || findings.tryTake(now));
+    /** Whether a probe's result is sent to the other routers: always for a change of a primary, else as the rate allows. */
+    boolean shouldShare(Member member, boolean primaryChanged, long now) {
+        return sharesObservations && member.probesLeftInRound <= 0 && (primaryChanged || sharedObservations.tryTake(now));
     }
 
     void forget(Member member) {
-        rounds.remove(member);
-        urgent.remove(member);
+        dueRounds.remove(member);
+        dueUrgentProbes.remove(member);
     }
 
-    /** Begins what is due: urgent probes that had to wait for their gap, then rounds as far as no request has to ask. */
-    void tick(int members, long now) {
-        for (Member member = urgent.poll(now); member != null; member = urgent.poll(now)) {
-            probeOnDemand(member, members, now);
+    /** Starts what is due: urgent probes that had to wait for their gap, then rounds at the background rate. */
+    void tick(int memberCount, long now) {
+        for (Member member = dueUrgentProbes.poll(now); member != null; member = dueUrgentProbes.poll(now)) {
+            probeOnDemand(member, memberCount, now);
         }
-        for (Member member = rounds.poll(now); member != null; member = rounds.poll(now)) {
+        for (Member member = dueRounds.poll(now); member != null; member = dueRounds.poll(now)) {
             if (member.phase != Phase.SERVING) {
-                continue; // a list that names it again puts it back
+                continue; // scheduled again when a list names it as serving
             }
-            if (member.probing) {
-                rounds.put(member, now + URGENT_GAP);
-            } else if (background.tryTake(now)) {
-                startRound(member, members, now);
+            if (member.probeInFlight) {
+                dueRounds.put(member, now + URGENT_PROBE_GAP);
+            } else if (backgroundRounds.tryTake(now)) {
+                startRound(member, memberCount, now);
             } else {
-                rounds.put(member, member.roundDue);
+                dueRounds.put(member, member.nextRoundAt);
                 return;
             }
         }
     }
 
-    private void probeOnDemand(Member member, int members, long now) {
-        if (member.probing || member.phase != Phase.SERVING) {
+    private void probeOnDemand(Member member, int memberCount, long now) {
+        if (member.probeInFlight || member.phase != Phase.SERVING) {
             return;
         }
-        boolean wanted = member.group.askedAt > member.probedAt
-            && (member.down || member.suspectSince != RoutingPolicy.NONE || freshness.isNearBound(member, now));
-        if (!shared && now >= member.roundDue && background.tryTake(now)) {
-            startRound(member, members, now);
-        } else if (wanted) {
-            urgent(member, now);
+        boolean isUrgent = member.group.lastRequestAt > member.probedAt
+            && (member.unreachable || member.suspectSince != RoutingPolicy.NONE || freshness.isNearStalenessBound(member, now));
+        if (!sharesObservations && now >= member.nextRoundAt && backgroundRounds.tryTake(now)) {
+            startRound(member, memberCount, now);
+        } else if (isUrgent) {
+            probeUrgently(member, now);
         }
     }
 
-    /** Asks a member for its position on behalf of one read; a request brings about one such probe at most. */
-    void askPosition(Member member, long now) {
-        if (!member.probing) {
+    /** Probes a member for its position on behalf of one read; a request triggers at most one such probe. */
+    void probePosition(Member member, long now) {
+        if (!member.probeInFlight) {
             probe(member, now);
         }
     }
 
-    /** Probes as soon as the member's gap between urgent probes is over. */
-    void urgent(Member member, long now) {
-        if (member.probing || member.phase != Phase.SERVING) {
+    /** Probes as soon as the member's gap between urgent probes has passed. */
+    void probeUrgently(Member member, long now) {
+        if (member.probeInFlight || member.phase != Phase.SERVING) {
             return;
         }
-        if (now < member.urgentDue) {
-            urgent.put(member, member.urgentDue);
-        } else if (take(now)) {
+        if (now < member.nextUrgentProbeAt) {
+            dueUrgentProbes.put(member, member.nextUrgentProbeAt);
+        } else if (tryTakeProbe(now)) {
             probe(member, now);
-        } else if (!member.group.held.isEmpty()) {
-            urgent.put(member, now + URGENT_GAP);
+        } else if (!member.group.queued.isEmpty()) {
+            dueUrgentProbes.put(member, now + URGENT_PROBE_GAP);
         }
     }
 
     /**
-     * Asks the members of a group without a primary for their role, one after the other. The first pass is free, for without
-     * it no write of the group can be sent; others take from the probes' rate.
+     * Probes the members of a group without a primary for their role, one after the other. The first pass is not rate-limited,
+     * because no write of the group can be sent without it; later passes count against the rate of probes.
      */
     void searchPrimary(Group group, long now) {
-        if (!group.lacksPrimary() || group.members.stream().anyMatch(m -> m.probing && now < m.probedAt + SEARCH_HEDGE)) {
+        if (!group.lacksHealthyPrimary()
+                || group.members.stream().anyMatch(m -> m.probeInFlight && now < m.probedAt + SEARCH_HEDGE_DELAY)) {
             return;
         }
         List<Member> candidates = group.members.stream()
-            .filter(m -> m.phase == Phase.SERVING && !m.probing && now >= m.urgentDue).sorted(LIKELIEST).toList();
+            .filter(m -> m.phase == Phase.SERVING && !m.probeInFlight && now >= m.nextUrgentProbeAt)
+            .sorted(LIKELIEST_PRIMARY_FIRST).toList();
         if (candidates.isEmpty()) {
             return;
         }
-        long likeliest = candidates.stream().filter(m -> LIKELIEST.compare(m, candidates.get(0)) == 0).count();
-        Member next = candidates.get(random.nextInt((int) likeliest));
-        int pass = group.searches / group.members.size();
-        if (pass > 0 && !take(now)) {
+        long equallyLikely = candidates.stream().filter(m -> LIKELIEST_PRIMARY_FIRST.compare(m, candidates.get(0)) == 0).count();
+        Member next = candidates.get(random.nextInt((int) equallyLikely));
+        int pass = group.primarySearchProbes / group.members.size();
+        if (pass > 0 && !tryTakeProbe(now)) {
             return;
         }
-        group.searches++;
+        group.primarySearchProbes++;
         probe(next, now);
-        next.urgentDue = Math.max(next.urgentDue, now + (URGENT_GAP << Math.min(pass, MOST_SEARCH_DOUBLINGS)));
+        next.nextUrgentProbeAt = Math.max(next.nextUrgentProbeAt,
+            now + (URGENT_PROBE_GAP << Math.min(pass, MAX_SEARCH_GAP_DOUBLINGS)));
     }
 
-    private boolean take(long now) {
-        return demand.tryTake(now) || background.tryTake(now);
+    private boolean tryTakeProbe(long now) {
+        return demandProbes.tryTake(now) || backgroundRounds.tryTake(now);
     }
 
-    private void startRound(Member member, int members, long now) {
-        member.roundDue = nextRound(members, now);
-        rounds.put(member, member.roundDue);
-        member.pingsLeft = many && !shared ? 1 : PINGS;
+    private void startRound(Member member, int memberCount, long now) {
+        member.nextRoundAt = nextRoundTime(memberCount, now);
+        dueRounds.put(member, member.nextRoundAt);
+        member.probesLeftInRound = manyRouters && !sharesObservations ? 1 : PROBES_PER_ROUND;
         probe(member, now);
     }
 
     private void probe(Member member, long now) {
-        if (settings.limits().probes()) {
-            member.probing = true;
+        if (settings.limits().probing()) {
+            member.probeInFlight = true;
             member.probedAt = now;
-            member.urgentDue = nextUrgent(member, now);
+            member.nextUrgentProbeAt = nextUrgentTime(member, now);
             actions.accept(new Probe(member.id));
         }
     }
 
-    /**
-     * The paper's period or, in a fleet that shares what it finds, so long that all findings stay within their rate. Each of many
-     * routers has times of its own, so that not all of them come to one member at once.
-     */
-    private long nextRound(int members, long now) {
-        return now + (many ? roundPeriod(members) + random.nextLong(roundPeriod(members)) : PERIOD);
+    /** With many routers, each adds a random delay of up to a period, so that they do not all probe a member at once. */
+    private long nextRoundTime(int memberCount, long now) {
+        return now + (manyRouters ? roundPeriod(memberCount) + random.nextLong(roundPeriod(memberCount)) : ROUND_PERIOD);
     }
 
-    private long roundPeriod(int members) {
-        return shared ? Math.max(PERIOD, (long) (members * SECOND / (FLEET_FINDINGS / 2))) : PERIOD;
+    /** The period of rounds: in a fleet that shares results, long enough that all observations stay within their rate. */
+    private long roundPeriod(int memberCount) {
+        return sharesObservations ? Math.max(ROUND_PERIOD, (long) (memberCount * SECOND / (FLEET_OBSERVATIONS_PER_SECOND / 2)))
+            : ROUND_PERIOD;
     }
 
-    /** Each router's gap is its own, so that of many one asks soon and the others hear of it. */
-    private long nextUrgent(Member member, long now) {
-        if (shared) {
-            return now + URGENT_GAP + random.nextLong(PERIOD - URGENT_GAP);
+    /** Routers that share results have random gaps, so that one of many probes soon and the others receive its result. */
+    private long nextUrgentTime(Member member, long now) {
+        if (sharesObservations) {
+            return now + URGENT_PROBE_GAP + random.nextLong(ROUND_PERIOD - URGENT_PROBE_GAP);
         }
-        long gap = Math.min(LONGEST_URGENT_GAP, URGENT_GAP << Math.min(member.failedProbes, MOST_DOUBLINGS));
+        long gap = Math.min(MAX_URGENT_PROBE_GAP, URGENT_PROBE_GAP << Math.min(member.failedProbes, MAX_GAP_DOUBLINGS));
         return now + gap + (member.failedProbes == 0 ? 0 : random.nextLong(gap / 2));
     }
 }
--- a/core/src/main/java/ledgewall/ReplicaRoutingPolicy.java
+++ b/core/src/main/java/ledgewall/ReplicaRoutingPolicy.java
@@ -14,107 +14,116 @@
 import java.util.stream.Collectors;
 
 /**
- * All decisions of a router. The interface, its events and its actions stand in RoutingPolicy.java.
+ * The routing policy for groups of one primary and its replicas; the events and actions are defined in {@link RoutingPolicy}.
  *
- * <p>The ordinary path is the design's: members are probed every five seconds for role, position and ping; a
- * read goes to a random eligible replica among the near-fastest, then the next, then the primary; a write to
- * the member last seen as primary. All else is an exception that says what it guards against.
+ * <p>The normal path follows a reference design: each member is probed every five seconds for its role, position and round
+ * trip; a read goes to a random eligible replica among the nearest, then to another one, then to the primary; a write goes to
+ * the member last seen as primary. Everything else handles an exception, and its comment names the failure.
  */
 public final class ReplicaRoutingPolicy implements RoutingPolicy {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
 
-    /** Ping differences below this part of a read's usual time are not felt by its client. */
-    private static final double PING_MARGIN = 0.125;
-    /** A member whose expected delay is over this multiple of the best's is crowded or slow, not unlucky. */
-    private static final double CROWDED = 1.5;
-    /** A member that was in contact so lately has an idle connection left, as far as hosts keep them. */
-    private static final long CONNECTION_KEPT = 20 * SECOND;
-    /** Silence worth this many expected answers is a fault: work has long tails. */
-    private static final double SILENCE = 20;
-    /** A timer later than this tells of a pause of the router itself: many ticks, far less than an aim. */
-    private static final long STANDSTILL = 50 * MS;
-    /** An attempt out for this many aims, where others are answered in time, is lost: no place, no load. */
-    private static final long LOST = 2;
-    /** No process is gone and back sooner: what answers again by then was only unreachable, and is warm. */
-    private static final long RESTART = SECOND;
-    /** A member under suspicion is offered one request in this time. */
-    private static final long TRIAL_GAP = 500 * MS;
-    /** A member's answers should take this part of their aims: the rest is for the long tail of work. */
-    private static final double STRAIN_AIM = 0.42;
-    private static final double FIRST_STRAIN = 0.25;
-    /** Power of strain in the spacing of sends: at half of the strain wanted a sixteenth is left. */
-    private static final double SPACING = 4;
-    /** Windows of attempts at a member, of all routers together: at first, when cold, at least, a step up. */
-    private static final double FIRST_WINDOW = 12;
-    private static final double COLD_WINDOW = 4;
-    private static final double LEAST_WINDOW = 1;
-    private static final double STEP_UP = 2;
-    private static final double STEP_DOWN = 0.85;
-    private static final long STEP_GAP = 100 * MS;
-    /** Reads get this part of the primary's window: its writes can go nowhere else. */
-    private static final double PRIMARY_FOR_READS = 0.5;
-    /** Weight of a sample in means of a member and of many, and its time: few answers come from a member. */
-    private static final double MEMBER_WEIGHT = 0.3;
-    private static final double CLASS_WEIGHT = 0.02;
-    private static final double FADE = 20 * SECOND;
-    /** Part of the time left that a fresh router may hold a request while its first probes are out. */
-    private static final double FRESH_HOLD = 0.1;
-    /** Part of its aim that a read may be held: long enough for a burst to pass. */
-    private static final double HOLD_PART = 0.05;
-    /** Sessions whose last write is remembered: some megabytes at most. */
-    private static final int MOST_SESSIONS = 20_000;
-    /** First wait before asking for the list again after a failure; the rule gives the longest. */
-    private static final long ASK_AGAIN = SECOND;
-    /** Outcomes that only a member that answers can bring. */
-    private static final List<Result> SAID = List.of(Result.OK, Result.MISSED, Result.REJECTED, Result.ERROR);
+    /** Differences of round trips below this part of a read's mean latency make no noticeable difference to its client. */
+    private static final double ROUND_TRIP_MARGIN = 0.125;
+    /** A member whose expected delay is over this multiple of the best one's is crowded or slow, beyond random variation. */
+    private static final double MAX_DELAY_RATIO = 1.5;
+    /** A member contacted within this time probably still has an idle connection: hosts keep them about that long. */
+    private static final long CONNECTION_IDLE_TIME = 20 * SECOND;
+    /** Silence for this many expected latencies is a fault; it is that many because latencies have a long tail. */
+    private static final double SILENCE_THRESHOLD = 20;
+    /** A timer that fires later than this shows a stall of the router itself: many ticks, far less than a latency target. */
+    private static final long STALL_THRESHOLD = 50 * MS;
+    /** Latency targets after which an attempt is lost if later ones are answered in time: it uses no capacity, shows no load. */
+    private static final long LOST_AFTER_TARGETS = 2;
+    /** No process restarts faster: a member that answers again sooner was only unreachable and is still warm. */
+    private static final long MIN_RESTART_TIME = SECOND;
+    /** A suspected member is sent one trial request per interval. */
+    private static final long TRIAL_INTERVAL = 500 * MS;
+    /** The target for a member's mean latency, as a part of the latency target: the rest is left for the tail. */
+    private static final double TARGET_LATENCY_RATIO = 0.42;
+    private static final double INITIAL_LATENCY_RATIO = 0.25;
+    /** Exponent of the load in the spacing of sends: at half of the targeted latency ratio, a sixteenth of the gap is left. */
+    private static final double SPACING_EXPONENT = 4;
+    /** Concurrency limits of a member, for all routers together: initial, when cold, smallest. */
+    private static final double INITIAL_CONCURRENCY = 12;
+    private static final double COLD_CONCURRENCY = 4;
+    private static final double MIN_CONCURRENCY = 1;
+    /** A concurrency limit grows by this, for all routers together, with as many answers as it allows attempts. */
+    private static final double CONCURRENCY_INCREASE = 2;
+    /** It shrinks by this factor when answers are slow or refused, at most once per interval. */
+    private static final double CONCURRENCY_DECREASE_FACTOR = 0.85;
+    private static final long MIN_DECREASE_INTERVAL = 100 * MS;
+    /** Reads may use this part of the primary's concurrency limit, because its writes can go nowhere else. */
+    private static final double PRIMARY_READ_SHARE = 0.5;
+    /** Weight of a sample in the moving averages of one member, which gives few samples, and in those of many members. */
+    private static final double MEMBER_SAMPLE_WEIGHT = 0.3;
+    private static final double POOLED_SAMPLE_WEIGHT = 0.02;
+    /** Time constant in nanoseconds with which a member's latency ratio returns to its kind's when there are no samples. */
+    private static final double LATENCY_RATIO_TIME_CONSTANT = 20 * SECOND;
+    /** The part of its time that a request may be queued in a router that has just started and awaits its first probes. */
+    private static final double STARTUP_QUEUE_SHARE = 0.1;
+    /** The part of its latency target that a read may be queued: long enough for a burst to pass. */
+    private static final double READ_QUEUE_SHARE = 0.05;
+    /** Sessions whose last write is remembered: they take some megabytes at most. */
+    private static final int MAX_REMEMBERED_SESSIONS = 20_000;
+    /** The first delay before subscribing again after a failure; the constraints give the longest. */
+    private static final long MIN_SUBSCRIBE_RETRY = SECOND;
+    /** The results that prove that the member answered. */
+    private static final List<Result> ANSWERED_RESULTS = List.of(Result.OK, Result.MISDIRECTED, Result.REJECTED, Result.ERROR);
 
     private final Settings settings;
     private final SplittableRandom random;
-    private final long tick;
-    private final double[] classMean;
-    private double sumOfMeans;
-    private final long[] patience;
+    /** The interval at which time-dependent work is done, in nanoseconds. */
+    private final long tickInterval;
+    /** Moving average of the latency of each request class, in nanoseconds. */
+    private final double[] meanLatency;
+    private double sumOfMeanLatencies;
+    /** The time left of the last first try of each request class, in nanoseconds. */
+    private final long[] firstTryTimeLeft;
     private final Map<String, Member> members = new LinkedHashMap<>();
     private final Map<Long, Group> groups = new LinkedHashMap<>();
     private final Map<Long, Request> requests = new LinkedHashMap<>();
     private final DueQueue<Request> deadlines = new DueQueue<>();
     private final Map<Integer, MachineKind> kinds = new HashMap<>();
-    /** Members with attempts out; members that are gone, until nothing of theirs is out. */
-    private final Set<Member> busy = new LinkedHashSet<>();
-    private final Set<Member> leaving = new LinkedHashSet<>();
-    /** Groups that hold requests, and those of them of which something was heard in this turn. */
-    private final Set<Group> holding = new LinkedHashSet<>();
-    private final Set<Group> touched = new LinkedHashSet<>();
+    private final Set<Member> membersWithAttempts = new LinkedHashSet<>();
+    /** Members that are gone, until they have no attempt or probe in flight. */
+    private final Set<Member> goneMembers = new LinkedHashSet<>();
+    private final Set<Group> groupsWithQueue = new LinkedHashSet<>();
+    /** Groups about which an event of this call told something, so that their queued requests are routed again. */
+    private final Set<Group> groupsToResume = new LinkedHashSet<>();
     private final Freshness freshness;
     private final SlowStart slowStart;
-    private ProbeScheduler probes;
-    private final Map<Long, Long> lastWrites = new LinkedHashMap<>();
-    private final List<Request> pending = new ArrayList<>();
-    private final boolean shared;
-    private final List<GossipMessage.Finding> news = new ArrayList<>();
+    private ProbeScheduler probeScheduler;
+    /** The position of the last write of each session, oldest session first. */
+    private final Map<Long, Long> lastWritePositions = new LinkedHashMap<>();
+    private final List<Request> requestsToRoute = new ArrayList<>();
+    private final boolean sharesObservations;
+    private final List<GossipMessage.Observation> observationsToShare = new ArrayList<>();
     private List<Action> actions = new ArrayList<>();
-    private boolean clockStalled;
+    /** Whether the router itself stalled before this call. */
+    private boolean stalled;
     private boolean remembersWrites;
-    private long clockStalledAt = Long.MIN_VALUE;
+    private long stalledAt = Long.MIN_VALUE;
     private long now;
     private long startedAt = Long.MIN_VALUE;
     private long nextTick = Long.MIN_VALUE;
-    private long askAt = Long.MAX_VALUE;
-    private long askWait = ASK_AGAIN;
-    private long forgotten = Long.MIN_VALUE;
+    private long subscribeAt = Long.MAX_VALUE;
+    private long subscribeRetryDelay = MIN_SUBSCRIBE_RETRY;
+    /** The highest write position of the sessions that were evicted. */
+    private long evictedWritePosition = Long.MIN_VALUE;
 
     public ReplicaRoutingPolicy(Settings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
-        this.shared = ProbeScheduler.isShared(settings);
-        this.freshness = new Freshness(settings, shared);
+        this.sharesObservations = ProbeScheduler.sharesObservations(settings);
+        this.freshness = new Freshness(settings, sharesObservations);
         this.slowStart = new SlowStart(settings);
-        this.tick = Math.max(2 * settings.tick(), 10 * MS);
-        this.remembersWrites = settings.classes().stream().anyMatch(c -> c.need() == Need.SESSION);
-        this.patience = settings.classes().stream().mapToLong(RequestClass::deadline).toArray();
-        this.classMean = settings.classes().stream().mapToDouble(c -> c.aim() / 4.0).toArray();
-        this.sumOfMeans = Arrays.stream(classMean).sum();
+        this.tickInterval = Math.max(2 * settings.tickInterval(), 10 * MS);
+        this.remembersWrites = settings.classes().stream().anyMatch(c -> c.consistency() == Consistency.SESSION);
+        this.firstTryTimeLeft = settings.classes().stream().mapToLong(RequestClass::timeout).toArray();
+        this.meanLatency = settings.classes().stream().mapToDouble(c -> c.latencyTarget() / 4.0).toArray();
+        this.sumOfMeanLatencies = Arrays.stream(meanLatency).sum();
     }
 
     @Override
@@ -124,27 +133,28 @@
         if (startedAt == Long.MIN_VALUE) {
             start();
         }
-        // The router's own pause, told by its late timer, is no slowness of members. Harm: one batch unread.
-        clockStalled = now > nextTick + STANDSTILL;
-        clockStalledAt = clockStalled ? now : clockStalledAt;
+        // A stall of the router itself, shown by its late timer, must not count as latency of the members. Drawback: the
+        // latencies of one batch of events are ignored.
+        stalled = now > nextTick + STALL_THRESHOLD;
+        stalledAt = stalled ? now : stalledAt;
         events.forEach(this::onEvent);
         if (now >= nextTick) {
-            touched.addAll(holding);
+            groupsToResume.addAll(groupsWithQueue);
             onTick();
-            nextTick = now + tick;
+            nextTick = now + tickInterval;
             actions.add(new SetTimer(nextTick, 0));
         }
-        touched.stream().filter(holding::remove).forEach(this::resume);
-        touched.clear();
-        List.copyOf(pending).forEach(this::route);
-        pending.clear();
+        groupsToResume.stream().filter(groupsWithQueue::remove).forEach(this::resumeQueued);
+        groupsToResume.clear();
+        List.copyOf(requestsToRoute).forEach(this::route);
+        requestsToRoute.clear();
         return actions;
     }
 
     private void start() {
         startedAt = nextTick = now;
-        askAt = settings.askForList() ? now : Long.MAX_VALUE;
-        probes = new ProbeScheduler(settings, random, freshness, action -> actions.add(action), now);
+        subscribeAt = settings.subscribesToList() ? now : Long.MAX_VALUE;
+        probeScheduler = new ProbeScheduler(settings, random, freshness, action -> actions.add(action), now);
     }
 
     private void onEvent(Event event) {
@@ -154,169 +164,176 @@
             onArrival(arrival);
         } else if (event instanceof Outcome outcome) {
             onOutcome(outcome);
-        } else if (event instanceof ProbeResult echo && members.containsKey(echo.member())) {
-            onProbeResult(echo);
-        } else if (event instanceof PeerMessage message && shared) {
+        } else if (event instanceof ProbeResult probeResult && members.containsKey(probeResult.member())) {
+            onProbeResult(probeResult);
+        } else if (event instanceof PeerMessage message && sharesObservations) {
             onGossip(GossipMessage.decode(message.content()));
-        } else if (event instanceof AnswerBegun begun && requests.containsKey(begun.request())) {
-            requests.get(begun.request()).begun = true;
-        } else if (event instanceof Lapsed lapsed && requests.containsKey(lapsed.request())) {
-            close(requests.get(lapsed.request()));
+        } else if (event instanceof AnswerStarted started && requests.containsKey(started.request())) {
+            requests.get(started.request()).answerStarted = true;
+        } else if (event instanceof RequestAbandoned abandoned && requests.containsKey(abandoned.request())) {
+            finish(requests.get(abandoned.request()));
         }
     }
 
     private void onArrival(Arrival arrival) {
         if (arrival.requestClass() < 0 || arrival.requestClass() >= settings.classes().size()) {
-            actions.add(new Refuse(arrival.request(), 0)); // of no class that the settings name: nothing ran
+            actions.add(new Refuse(arrival.request(), 0)); // unknown class: nothing was executed
             return;
         }
-        Request request = request(arrival);
+        Request request = newRequest(arrival);
         request.group.onRequest(now);
         requests.put(request.id(), request);
-        deadlines.put(request, request.lastSend);
-        pending.add(request);
-        probes.onRequest(request, members.size(), now);
+        deadlines.put(request, request.sendDeadline);
+        requestsToRoute.add(request);
+        probeScheduler.onRequest(request, members.size(), now);
     }
 
-    private Request request(Arrival arrival) {
+    private Request newRequest(Arrival arrival) {
         int index = arrival.requestClass();
-        RequestClass kind = settings.classes().get(index);
-        long end = Math.max(now, now + arrival.timeLeft() - 2 * tick);
-        // A retry with another time left than first tries has the rest of the whole deadline: that tells
-        // when its client first asked. Past its aim worthless work is not begun; what runs may answer.
-        patience[index] = arrival.retry() ? patience[index] : arrival.timeLeft();
-        boolean told = arrival.retry() && Math.abs(arrival.timeLeft() - patience[index]) > tick;
-        long at = now - (told ? Math.max(0, kind.deadline() - arrival.timeLeft()) : 0);
-        long lastSend = kind.lateWorth() > 0 ? end : Math.min(end, at + kind.aim() - tick);
-        long needed = kind.need() == Need.FRESH ? now : arrival.sinceWrite() != NONE
-            ? now - arrival.sinceWrite() : lastWrites.getOrDefault(arrival.session(), forgotten);
-        return new Request(arrival, kind, group(arrival.group()), at, end, lastSend, needed);
-    }
-
-    private Group group(long id) {
+        RequestClass requestClass = settings.classes().get(index);
+        long deadline = Math.max(now, now + arrival.timeLeft() - 2 * tickInterval);
+        // A retry whose time left differs from that of first tries has the rest of the class's timeout, which tells when its
+        // client first sent it. If late answers have no value, no attempt starts after the latency target; one in flight may
+        // still answer.
+        firstTryTimeLeft[index] = arrival.retry() ? firstTryTimeLeft[index] : arrival.timeLeft();
+        boolean startKnown = arrival.retry() && Math.abs(arrival.timeLeft() - firstTryTimeLeft[index]) > tickInterval;
+        long firstRequestedAt = now - (startKnown ? Math.max(0, requestClass.timeout() - arrival.timeLeft()) : 0);
+        long sendDeadline = requestClass.lateValue() > 0 ? deadline
+            : Math.min(deadline, firstRequestedAt + requestClass.latencyTarget() - tickInterval);
+        long requiredPosition = requestClass.consistency() == Consistency.FRESH ? now : arrival.timeSinceWrite() != NONE
+            ? now - arrival.timeSinceWrite() : lastWritePositions.getOrDefault(arrival.session(), evictedWritePosition);
+        return new Request(arrival, requestClass, groupOf(arrival.group()), firstRequestedAt, deadline, sendDeadline,
+            requiredPosition);
+    }
+
+    private Group groupOf(long id) {
         return groups.computeIfAbsent(id, number -> new Group());
     }
 
-    /** Follows the list: a drain binds at once, and so does absence unless only a drain is to bind. */
+    /** Applies a list: members listed as draining are excluded at once, absent ones unless the constraints keep them. */
     private void onMemberList(MemberList list) {
         if (list.kind() == ListKind.FAILED) {
-            askAt = now + askWait + random.nextLong(askWait);
-            askWait = Math.min(2 * askWait, settings.rules().askWithin() / 2);
+            subscribeAt = now + subscribeRetryDelay + random.nextLong(subscribeRetryDelay);
+            subscribeRetryDelay = Math.min(2 * subscribeRetryDelay, settings.constraints().resubscribeWithin() / 2);
             return;
         }
-        askWait = ASK_AGAIN;
-        askAt = list.kind() == ListKind.REMEMBERED ? askAt : Long.MAX_VALUE;
-        boolean lenient = settings.rules().drainBindsAlone();
-        if (list.kind() != ListKind.CHANGES) {
+        subscribeRetryDelay = MIN_SUBSCRIBE_RETRY;
+        subscribeAt = list.kind() == ListKind.CACHED ? subscribeAt : Long.MAX_VALUE;
+        boolean keepUnlisted = settings.constraints().keepUnlistedMembers();
+        if (list.kind() != ListKind.DELTA) {
             Set<String> listed = list.listings().stream().map(Listing::member).collect(Collectors.toSet());
-            members.values().stream().filter(m -> !listed.contains(m.id) && !lenient).forEach(m -> {
+            members.values().stream().filter(m -> !listed.contains(m.id) && !keepUnlisted).forEach(m -> {
                 m.phase = Phase.GONE;
-                onMemberListed(m);
+                onListingChanged(m);
             });
         }
-        for (Listing line : list.listings()) {
-            Member member = members.computeIfAbsent(line.member(),
-                id -> new Member(id, group(line.group()), FIRST_STRAIN, FIRST_WINDOW / settings.routers()));
-            slowStart.discount(member, now);
-            member.zone = line.zone();
-            member.kind = kinds.computeIfAbsent(line.kind(), id -> new MachineKind(FIRST_STRAIN));
-            if (line.born() > member.born) {
-                member.born = line.born();
-                member.down = false;
+        for (Listing listing : list.listings()) {
+            Member member = members.computeIfAbsent(listing.member(),
+                id -> new Member(id, groupOf(listing.group()), INITIAL_LATENCY_RATIO,
+                    INITIAL_CONCURRENCY / settings.routerCount()));
+            slowStart.removeFromKindMean(member, now);
+            member.zone = listing.zone();
+            member.kind = kinds.computeIfAbsent(listing.kind(), id -> new MachineKind(INITIAL_LATENCY_RATIO));
+            if (listing.startedAt() > member.startedAt) {
+                member.startedAt = listing.startedAt();
+                member.unreachable = false;
                 member.suspectSince = NONE;
-                member.window = COLD_WINDOW / settings.routers();
+                member.concurrencyLimit = COLD_CONCURRENCY / settings.routerCount();
             }
-            member.phase = line.phase() == Phase.GONE && lenient ? member.phase : line.phase();
-            onMemberListed(member);
-            if (line.primary()) {
-                boolean late = settings.data().listedRole() == ListedRole.LATE;
-                updateRole(member, Role.PRIMARY, late ? now - SlowStart.LIST_AGE : Long.MIN_VALUE + 1);
+            member.phase = listing.phase() == Phase.GONE && keepUnlisted ? member.phase : listing.phase();
+            onListingChanged(member);
+            if (listing.primary()) {
+                boolean delayed = settings.replication().listedRoleTiming() == ListedRoleTiming.DELAYED;
+                updateRole(member, Role.PRIMARY, delayed ? now - SlowStart.LIST_DELAY : Long.MIN_VALUE + 1);
             }
         }
     }
 
-    /** What follows a line of the list, or a line that is missing there. */
-    private void onMemberListed(Member member) {
-        touched.add(member.group);
-        slowStart.recount(member, now);
+    /** Handles a member's new entry in the list, or its absence from the list. */
+    private void onListingChanged(Member member) {
+        groupsToResume.add(member.group);
+        slowStart.updateKindMean(member, now);
         if (member.phase == Phase.SERVING) {
-            probes.onServing(member, members.size(), now);
+            probeScheduler.onListedServing(member, members.size(), now);
         } else if (member.phase == Phase.GONE) {
-            leaving.add(member);
+            goneMembers.add(member);
         }
     }
 
-    /** Newest evidence wins: reports and lists speak of the past, answers of the present. */
-    private void updateRole(Member member, Role role, long at) {
-        if (role == Role.UNKNOWN || at < member.roleAt) {
+    /** The newest evidence wins: reports and lists describe a past state, answers the present one. */
+    private void updateRole(Member member, Role role, long asOf) {
+        if (role == Role.UNKNOWN || asOf < member.roleAsOf) {
             return;
         }
         member.role = role;
-        member.roleAt = at;
+        member.roleAsOf = asOf;
         Group group = member.group;
-        touched.add(group);
-        if (at >= group.primaryAt && (role == Role.PRIMARY || group.primary == member)) {
+        groupsToResume.add(group);
+        if (asOf >= group.primaryAsOf && (role == Role.PRIMARY || group.primary == member)) {
             group.primary = role == Role.PRIMARY ? member : null;
-            group.searches = 0;
-            group.primaryAt = at;
+            group.primarySearchProbes = 0;
+            group.primaryAsOf = asOf;
         }
     }
 
-    private void updatePosition(Member member, long position, long at) {
+    private void updatePosition(Member member, long position, long asOf) {
         member.position = Math.max(member.position, position);
-        member.positionAt = position == NONE ? member.positionAt : Math.max(member.positionAt, at);
+        member.positionAsOf = position == NONE ? member.positionAsOf : Math.max(member.positionAsOf, asOf);
     }
 
-    private void onProbeResult(ProbeResult echo) {
-        Member member = members.get(echo.member());
-        member.probing = false;
-        if (echo.result() != Result.OK) {
-            if (echo.result() != Result.REJECTED) {
-                probes.onFailed(member, now);
-                markUnreachable(member, echo.result() == Result.NOT_CONNECTED);
+    private void onProbeResult(ProbeResult probeResult) {
+        Member member = members.get(probeResult.member());
+        member.probeInFlight = false;
+        if (probeResult.result() != Result.OK) {
+            if (probeResult.result() != Result.REJECTED) {
+                probeScheduler.onProbeFailed(member, now);
+                markUnreachable(member, probeResult.result() == Result.NOT_CONNECTED);
             }
             return;
         }
-        if (member.refused && now >= member.downAt + RESTART) {
-            member.window = COLD_WINDOW / settings.routers();
-            member.returnedAt = now;
-        }
-        boolean returned = member.down;
-        member.down = member.refused = false;
-        if (returned) {
-            slowStart.recount(member, now);
-        }
-        touched.add(member.group);
-        member.ping += (echo.elapsed() - member.ping) / (member.ping == 0 ? 1 : ProbeScheduler.PINGS);
-        probes.onAnswered(member, now);
-        if (echo.report() != null) {
-            long position = echo.report().position();
+        if (member.connectionRefused && now >= member.unreachableSince + MIN_RESTART_TIME) {
+            member.concurrencyLimit = COLD_CONCURRENCY / settings.routerCount();
+            member.restartDetectedAt = now;
+        }
+        boolean wasUnreachable = member.unreachable;
+        member.unreachable = member.connectionRefused = false;
+        if (wasUnreachable) {
+            slowStart.updateKindMean(member, now);
+        }
+        groupsToResume.add(member.group);
+        member.roundTrip += (probeResult.elapsed() - member.roundTrip)
+            / (member.roundTrip == 0 ? 1 : ProbeScheduler.PROBES_PER_ROUND);
+        probeScheduler.onProbeAnswered(member, now);
+        if (probeResult.report() != null) {
+            long position = probeResult.report().position();
             updatePosition(member, position, now);
-            Role role = echo.report().role();
-            boolean knownPrimary = member.group.primary == member;
-            updateRole(member, role, position == NONE ? now - echo.elapsed() : position);
-            boolean changed = knownPrimary != (member.group.primary == member);
-            if (probes.handsOn(member, changed, now)) {
-                news.add(new GossipMessage.Finding(member.id, role, now, position, (long) member.ping));
+            Role role = probeResult.report().role();
+            boolean wasPrimary = member.group.primary == member;
+            updateRole(member, role, position == NONE ? now - probeResult.elapsed() : position);
+            boolean primaryChanged = wasPrimary != (member.group.primary == member);
+            if (probeScheduler.shouldShare(member, primaryChanged, now)) {
+                observationsToShare.add(new GossipMessage.Observation(member.id, role, now, position, (long) member.roundTrip));
             }
         }
     }
 
     /**
-     * Guards against the sum of all routers' probes: what one finds it hands on, and the others put off their
-     * own. Only good news counts, and lifts no exclusion: a router that is cut off finds everyone gone.
-     * Harm: what a router alone cannot reach it learns by its requests, or up to a period later.
+     * Keeps the total number of all routers' probes low: each router shares its results, and the others postpone their own
+     * probes. Only positive results are shared, and they end no exclusion, because a router that is cut off finds every
+     * member unreachable. Drawback: that this router alone cannot reach a member shows only by its requests or up to a probe
+     * period later.
      */
-    private void onGossip(GossipMessage told) {
-        for (GossipMessage.Finding found : told.findings()) {
-            Member member = members.get(found.member());
-            if (member == null || found.at() > now || found.position() > found.at()) {
+    private void onGossip(GossipMessage message) {
+        for (GossipMessage.Observation observation : message.observations()) {
+            Member member = members.get(observation.member());
+            if (member == null || observation.at() > now || observation.position() > observation.at()) {
                 continue;
             }
-            updateRole(member, found.role(), found.position() == NONE ? found.at() : found.position());
-            updatePosition(member, found.position(), found.at());
-            member.ping = told.zone() == settings.zone() && found.ping() > 0 ? found.ping() : member.ping;
-            probes.onNews(member, members.size(), now);
+            updateRole(member, observation.role(), observation.position() == NONE ? observation.at() : observation.position());
+            updatePosition(member, observation.position(), observation.at());
+            member.roundTrip = message.zone() == settings.zone() && observation.roundTrip() > 0 ? observation.roundTrip()
+                : member.roundTrip;
+            probeScheduler.onPeerObservation(member, members.size(), now);
         }
     }
 
@@ -327,382 +344,404 @@
         if (attempt == null) {
             return;
         }
-        request.out = null;
+        request.currentAttempt = null;
         Member member = attempt.member();
-        member.open.remove(attempt);
-        if (member.open.isEmpty()) {
-            busy.remove(member);
+        member.attemptsInFlight.remove(attempt);
+        if (member.attemptsInFlight.isEmpty()) {
+            membersWithAttempts.remove(member);
         }
-        touched.add(member.group);
+        groupsToResume.add(member.group);
         updateHealth(member, attempt, outcome);
         updateRole(member, outcome.role(), now);
         updatePosition(member, outcome.position(), now);
-        if (outcome.result() == Result.OK && request.kind.need() == Need.WRITE && remembersWrites) {
-            lastWrites.merge(request.arrival.session(), outcome.position(), Math::max);
-            // What is forgotten counts as everybody's: reads get fresher data than they need, never older.
-            if (lastWrites.size() > MOST_SESSIONS) {
-                forgotten = Math.max(forgotten, lastWrites.remove(lastWrites.keySet().iterator().next()));
+        if (outcome.result() == Result.OK && request.requestClass.consistency() == Consistency.WRITE && remembersWrites) {
+            lastWritePositions.merge(request.arrival.session(), outcome.position(), Math::max);
+            // An evicted write counts for all sessions unknown here: reads get newer data than they require, never older.
+            if (lastWritePositions.size() > MAX_REMEMBERED_SESSIONS) {
+                evictedWritePosition = Math.max(evictedWritePosition,
+                    lastWritePositions.remove(lastWritePositions.keySet().iterator().next()));
             }
         }
-        if (request.over || outcome.complete()) {
-            close(request);
+        if (request.finished || outcome.complete()) {
+            finish(request);
         } else {
-            follow(request, attempt, outcome);
+            continueAfter(request, attempt, outcome);
         }
     }
 
-    /** Health from answers: how much of its aim an answer took. */
+    /** Updates health and load from the result of an attempt and the part of its latency target that it took. */
     private void updateHealth(Member member, Attempt attempt, Outcome outcome) {
         int index = attempt.request().classIndex();
-        // One lost answer is no queue: no sample counts for more than a missed aim.
-        double strain = Math.min(1, outcome.elapsed() / (double) attempt.request().kind.aim());
-        boolean answered = SAID.contains(outcome.result());
-        member.answeredAt = answered ? now : member.answeredAt;
+        // A lost answer is no sign of a long queue: no sample counts for more than one that just missed its latency target.
+        double sample = Math.min(1, outcome.elapsed() / (double) attempt.request().requestClass.latencyTarget());
+        boolean answered = ANSWERED_RESULTS.contains(outcome.result());
+        member.lastAnsweredAt = answered ? now : member.lastAnsweredAt;
         member.suspectSince = answered ? NONE : member.suspectSince;
-        if (clockStalled && outcome.result() != Result.NOT_CONNECTED) {
+        if (stalled && outcome.result() != Result.NOT_CONNECTED) {
             return;
         }
         switch (outcome.result()) {
             case OK -> {
-                double step = CLASS_WEIGHT * (outcome.elapsed() - classMean[index]);
-                classMean[index] += step;
-                sumOfMeans += step;
-                sample(member, strain);
-                slowStart.onServed(member, work(attempt.request()) * SECOND / MachineKind.RATE_TIME, now);
-                if (strain(member) > STRAIN_AIM) {
+                double change = POOLED_SAMPLE_WEIGHT * (outcome.elapsed() - meanLatency[index]);
+                meanLatency[index] += change;
+                sumOfMeanLatencies += change;
+                recordLatencyRatio(member, sample);
+                slowStart.onServed(member, relativeWork(attempt.request()) * SECOND / MachineKind.RATE_TIME_CONSTANT, now);
+                if (latencyRatio(member) > TARGET_LATENCY_RATIO) {
                     decreaseConcurrencyLimit(member);
-                } else if (member.open.size() + 1 >= member.window / 2) {
-                    member.window += STEP_UP / settings.routers() / Math.max(1, member.window);
+                } else if (member.attemptsInFlight.size() + 1 >= member.concurrencyLimit / 2) {
+                    member.concurrencyLimit += CONCURRENCY_INCREASE / settings.routerCount()
+                        / Math.max(1, member.concurrencyLimit);
                 }
             }
             case REJECTED -> decreaseConcurrencyLimit(member);
             case TIMED_OUT, CANCELLED -> {
-                // Where others were answered meanwhile, in time, a long wait is a lost answer and no load.
-                if (!late(attempt) || answeredAt(member) <= attempt.sentAt() || strain(member) >= STRAIN_AIM) {
-                    sample(member, Math.max(strain, strain(member)));
+                // If others were answered in time meanwhile, a long wait is a lost answer and no sign of load.
+                if (!isOverdue(attempt) || lastAnswerHeardAt(member) <= attempt.sentAt()
+                        || latencyRatio(member) >= TARGET_LATENCY_RATIO) {
+                    recordLatencyRatio(member, Math.max(sample, latencyRatio(member)));
                     decreaseConcurrencyLimit(member);
                 }
             }
             case NOT_CONNECTED -> markUnreachable(member, true);
-            case RESET -> probes.urgent(member, now); // one broken connection is no dead member: a probe tells
+            case RESET -> probeScheduler.probeUrgently(member, now); // one broken connection does not prove a failed member
             default -> { }
         }
     }
 
-    /** When the member last answered, as far as this router was able to hear it. */
-    private long answeredAt(Member member) {
-        return Math.max(member.answeredAt, clockStalledAt);
+    /** When the member last answered, or the end of this router's last stall, during which it could not read answers. */
+    private long lastAnswerHeardAt(Member member) {
+        return Math.max(member.lastAnsweredAt, stalledAt);
     }
 
-    /** Guards against broken links: one failure beside answers only asks a probe. Harm: a try at the dead. */
+    /**
+     * Guards against unreliable network links: a single failure shortly after an answer only triggers a probe. Drawback: one
+     * more attempt at a member that has failed.
+     */
     private void markUnreachable(Member member, boolean refused) {
-        boolean once = member.failedAt < answeredAt(member) && now < answeredAt(member) + RESTART;
-        member.failedAt = now;
-        member.downAt = member.down ? member.downAt : now;
-        member.refused |= refused && !once;
-        member.down |= !once;
-        slowStart.recount(member, now);
-        probes.urgent(member, now);
+        boolean isolated = member.connectionFailedAt < lastAnswerHeardAt(member)
+            && now < lastAnswerHeardAt(member) + MIN_RESTART_TIME;
+        member.connectionFailedAt = now;
+        member.unreachableSince = member.unreachable ? member.unreachableSince : now;
+        member.connectionRefused |= refused && !isolated;
+        member.unreachable |= !isolated;
+        slowStart.updateKindMean(member, now);
+        probeScheduler.probeUrgently(member, now);
     }
 
-    private void sample(Member member, double strain) {
-        member.strain = strain(member) + MEMBER_WEIGHT * (strain - strain(member));
-        member.kind.strain += CLASS_WEIGHT * (strain - member.kind.strain);
-        member.sampledAt = now;
+    private void recordLatencyRatio(Member member, double sample) {
+        member.latencyRatio = latencyRatio(member) + MEMBER_SAMPLE_WEIGHT * (sample - latencyRatio(member));
+        member.kind.latencyRatio += POOLED_SAMPLE_WEIGHT * (sample - member.kind.latencyRatio);
+        member.latencySampledAt = now;
     }
 
-    /** How much of their aims a member's answers take; without samples this fades to what its kind's do. */
-    private double strain(Member member) {
-        double usual = member.kind.strain;
-        return usual + (member.strain - usual) * Math.exp((member.sampledAt - now) / FADE);
+    /** The mean latency of a member's answers as a part of their targets; without samples it decays to its kind's. */
+    private double latencyRatio(Member member) {
+        double kindRatio = member.kind.latencyRatio;
+        return kindRatio + (member.latencyRatio - kindRatio)
+            * Math.exp((member.latencySampledAt - now) / LATENCY_RATIO_TIME_CONSTANT);
     }
 
     private void decreaseConcurrencyLimit(Member member) {
-        if (now >= member.stepDue) {
-            member.stepDue = now + STEP_GAP;
-            member.window = Math.max(LEAST_WINDOW / settings.routers(), member.window * STEP_DOWN);
+        if (now >= member.nextDecreaseAt) {
+            member.nextDecreaseAt = now + MIN_DECREASE_INTERVAL;
+            member.concurrencyLimit = Math.max(MIN_CONCURRENCY / settings.routerCount(),
+                member.concurrencyLimit * CONCURRENCY_DECREASE_FACTOR);
         }
     }
 
     private void route(Request request) {
-        if (request.over || request.out != null) {
+        if (request.finished || request.currentAttempt != null) {
             return;
         }
-        Member member = request.kind.need() == Need.WRITE ? pickForWrite(request) : pickForRead(request);
+        Member member = request.requestClass.consistency() == Consistency.WRITE ? pickForWrite(request) : pickForRead(request);
         boolean sent = member != null && send(request, member);
-        if (!sent && worthHolding(request)) {
-            request.group.held.add(request);
-            holding.add(request.group);
+        if (!sent && mayQueue(request)) {
+            request.group.queued.add(request);
+            groupsWithQueue.add(request.group);
         } else if (!sent) {
-            end(request);
+            endUnanswered(request);
         }
     }
 
     private List<Member> candidates(Request request, Predicate<Member> test) {
         return new ArrayList<>(request.group.members.stream()
-            .filter(m -> !request.tried.contains(m) && test.test(m) && permitted(request, m)).toList());
+            .filter(m -> !request.triedMembers.contains(m) && test.test(m) && isPermitted(request, m)).toList());
     }
 
     private Member pickForWrite(Request request) {
         Group group = request.group;
         Member known = group.primary;
         if (known != null) {
-            return healthy(known) && room(request, known, 1) && permitted(request, known) ? known : null;
+            return isHealthy(known) && hasCapacity(request, known, 1) && isPermitted(request, known) ? known : null;
         }
-        // Only an answer can tell who is primary: now and then a held write asks, to be turned away if wrong.
-        if (settings.data().probesTellRole() && settings.limits().probes() || now < group.askDue
+        // Where only answers to requests tell the primary, a queued write is sent to a member at intervals; a replica refuses it.
+        if (settings.replication().probesReportRole() && settings.limits().probing() || now < group.nextPrimaryTrialAt
                 || request.attempts.size() + 1 >= settings.limits().maxAttempts()) {
             return null;
         }
-        group.askDue = now + ProbeScheduler.URGENT_GAP;
-        return candidates(request, m -> healthy(m) && room(request, m, 1)).stream()
-            .min(Comparator.comparingLong(m -> m.sentAt)).orElse(null);
+        group.nextPrimaryTrialAt = now + ProbeScheduler.URGENT_PROBE_GAP;
+        return candidates(request, m -> isHealthy(m) && hasCapacity(request, m, 1)).stream()
+            .min(Comparator.comparingLong(m -> m.lastSentAt)).orElse(null);
     }
 
     private Member pickForRead(Request request) {
         Group group = request.group;
-        if (now - startedAt < FRESH_HOLD * (request.lastSend - request.at)
-                && group.members.stream().allMatch(m -> m.ping == 0)) {
-            return null; // a fresh router waits for its first probes
+        if (now - startedAt < STARTUP_QUEUE_SHARE * (request.sendDeadline - request.firstRequestedAt)
+                && group.members.stream().allMatch(m -> m.roundTrip == 0)) {
+            return null; // a router that has just started waits for its first probes
         }
         List<Member> replicas = candidates(request,
-            m -> m != group.primary && healthy(m) && room(request, m, 1) && freshness.isEligible(request, m, now));
+            m -> m != group.primary && isHealthy(m) && hasCapacity(request, m, 1) && freshness.isEligible(request, m, now));
         if (!replicas.isEmpty()) {
-            return drawNearFastest(request, replicas);
+            return pickNearFastest(request, replicas);
         }
-        if (freshness.isProvenByProbe(request) && awaitsPosition(request)) {
+        if (freshness.usesPositionProbe(request) && waitsForPosition(request)) {
             return null;
         }
-        // Then the primary; where nobody looks well, doubt the judgement rather than the members.
-        boolean doubt = group.members.stream().noneMatch(this::healthy);
-        return candidates(request, doubt ? m -> freshness.isEligible(request, m, now) && now >= m.trialAt + TRIAL_GAP
-            : m -> m == group.primary && healthy(m) && room(request, m, PRIMARY_FOR_READS))
+        // Then the primary; if no member seems healthy, the health state rather than all members is assumed to be wrong.
+        boolean allUnhealthy = group.members.stream().noneMatch(this::isHealthy);
+        return candidates(request, allUnhealthy
+            ? m -> freshness.isEligible(request, m, now) && now >= m.lastTrialAt + TRIAL_INTERVAL
+            : m -> m == group.primary && isHealthy(m) && hasCapacity(request, m, PRIMARY_READ_SHARE))
             .stream().findFirst().orElse(null);
     }
 
     /**
-     * Whether a replica has been asked for its position, on behalf of this read or another, and may still tell it in time:
-     * many routers cannot know all positions all the time, and without them all reads would crowd the primaries.
+     * Whether a replica is being probed for its position, on behalf of this read or another, and may still tell it in time:
+     * many routers cannot keep all positions up to date, and without positions all such reads would load the primaries.
      */
-    private boolean awaitsPosition(Request request) {
-        if (!worthHolding(request)) {
+    private boolean waitsForPosition(Request request) {
+        if (!mayQueue(request)) {
             return false;
         }
-        if (request.asked == null) {
+        if (request.probedReplica == null) {
             List<Member> replicas = new ArrayList<>(request.group.members.stream()
-                .filter(m -> m != request.group.primary && !request.tried.contains(m) && healthy(m) && room(request, m, 1))
+                .filter(m -> m != request.group.primary && !request.triedMembers.contains(m) && isHealthy(m)
+                    && hasCapacity(request, m, 1))
                 .toList());
             if (replicas.isEmpty()) {
                 return false;
             }
-            request.asked = replicas.stream().filter(m -> m.probing).findFirst()
-                .orElseGet(() -> drawNearFastest(request, replicas));
-            probes.askPosition(request.asked, now);
-        }
-        return request.asked.probing;
-    }
-
-    /** The design's draw, without members that are clearly more crowded than the best. */
-    private Member drawNearFastest(Request request, List<Member> replicas) {
-        double margin = PING_MARGIN * classMean[request.classIndex()];
-        double fastest = replicas.stream().mapToDouble(m -> m.ping).filter(p -> p > 0).min().orElse(0);
-        replicas.removeIf(m -> m.ping > fastest + margin);
-        double least = replicas.stream().mapToDouble(this::delay).min().orElse(0);
-        replicas.removeIf(m -> delay(m) > CROWDED * least);
-        if (request.group.isAskedLessOftenThan(ProbeScheduler.PERIOD)) {
-            // Reads this far apart crowd nobody, and each new connection costs its member work and the read time.
-            List<Member> connected = replicas.stream().filter(m -> m.contactedAt() > now - CONNECTION_KEPT).toList();
+            request.probedReplica = replicas.stream().filter(m -> m.probeInFlight).findFirst()
+                .orElseGet(() -> pickNearFastest(request, replicas));
+            probeScheduler.probePosition(request.probedReplica, now);
+        }
+        return request.probedReplica.probeInFlight;
+    }
+
+    /** Picks one of the nearest replicas at random, leaving out those with clearly more load than the best one. */
+    private Member pickNearFastest(Request request, List<Member> replicas) {
+        double margin = ROUND_TRIP_MARGIN * meanLatency[request.classIndex()];
+        double shortest = replicas.stream().mapToDouble(m -> m.roundTrip).filter(t -> t > 0).min().orElse(0);
+        replicas.removeIf(m -> m.roundTrip > shortest + margin);
+        double leastDelay = replicas.stream().mapToDouble(this::expectedDelay).min().orElse(0);
+        replicas.removeIf(m -> expectedDelay(m) > MAX_DELAY_RATIO * leastDelay);
+        if (request.group.hasRequestGapOver(ProbeScheduler.ROUND_PERIOD)) {
+            // Reads this far apart overload no member, while a new connection costs the member work and the read time.
+            List<Member> connected = replicas.stream().filter(m -> m.lastContactedAt() > now - CONNECTION_IDLE_TIME).toList();
             replicas = connected.isEmpty() ? replicas : connected;
         }
         return replicas.get(random.nextInt(replicas.size()));
     }
 
-    /** Relative delay to be expected of a member; none beats its kind: a few quick answers may be luck. */
-    private double delay(Member member) {
-        return Math.max(member.kind.strain, strain(member)) * (member.open.size() + 1);
+    /** The relative delay expected at a member; never better than its kind's, as a few fast answers may be chance. */
+    private double expectedDelay(Member member) {
+        return Math.max(member.kind.latencyRatio, latencyRatio(member)) * (member.attemptsInFlight.size() + 1);
     }
 
     /**
-     * Guards against overload, of one member or of all, known only by its answers: no more own attempts are
-     * out than leave answers well inside their aims. A window below one, where many routers share a member,
-     * spaces sends, the less the further the member and its kind are from their strain: thin traffic comes in
-     * clumps. Harm: a burst waits for idle members' windows to widen, or meets all routers' first at once.
+     * Guards against overload of one or all members, which shows only in their answers: limits this router's attempts in
+     * flight so that answers stay well within their latency targets. A limit below one, where many routers share a member,
+     * spaces sends instead. The gaps shrink as the latencies of the member and its kind do, because sparse traffic comes in
+     * bursts. Drawback: a burst waits until the limits of idle members have grown, or meets the first requests of all routers.
+     *
+     * @param share the part of the member's concurrency limit that the request may use
      */
-    private boolean room(Request request, Member member, double part) {
-        double window = member.window * part;
-        double usual = strain(member) * request.kind.aim();
-        boolean slow = strain(member) >= STRAIN_AIM; // else what is out for long is lost: it holds no place
-        long out = member.open.stream().filter(a -> slow || !late(a)).count();
-        double load = Math.min(1, Math.max(member.kind.strain, strain(member)) / STRAIN_AIM);
-        double gap = Math.pow(load, SPACING) * usual / window;
-        return out == 0 ? window >= 1 || now - member.sentAt >= gap : out < window;
+    private boolean hasCapacity(Request request, Member member, double share) {
+        double limit = member.concurrencyLimit * share;
+        double expectedLatency = latencyRatio(member) * request.requestClass.latencyTarget();
+        boolean slow = latencyRatio(member) >= TARGET_LATENCY_RATIO; // else an overdue attempt is lost and uses no capacity
+        long inFlight = member.attemptsInFlight.stream().filter(a -> slow || !isOverdue(a)).count();
+        double load = Math.min(1, Math.max(member.kind.latencyRatio, latencyRatio(member)) / TARGET_LATENCY_RATIO);
+        double gap = Math.pow(load, SPACING_EXPONENT) * expectedLatency / limit;
+        return inFlight == 0 ? limit >= 1 || now - member.lastSentAt >= gap : inFlight < limit;
     }
 
-    private boolean healthy(Member member) {
-        boolean trial = member.open.stream().allMatch(this::late) && now >= member.trialAt + TRIAL_GAP;
-        return member.isUsable() && (member.suspectSince == NONE || trial);
+    private boolean isHealthy(Member member) {
+        boolean trialDue = member.attemptsInFlight.stream().allMatch(this::isOverdue)
+            && now >= member.lastTrialAt + TRIAL_INTERVAL;
+        return member.isUsable() && (member.suspectSince == NONE || trialDue);
     }
 
-    /** Out for so long that it stands in no trial's way and, beside later answers, tells of no silence. */
-    private boolean late(Attempt a) {
-        return now >= a.sentAt() + LOST * a.request().kind.aim();
+    /** Whether an attempt is in flight for so long that it delays no trial and, given later answers, shows no silence. */
+    private boolean isOverdue(Attempt attempt) {
+        return now >= attempt.sentAt() + LOST_AFTER_TARGETS * attempt.request().requestClass.latencyTarget();
     }
 
-    // ---- The gate: every send passes here
+    // ---- Checks that every send has to pass
 
-    private boolean permitted(Request request, Member member) {
-        boolean open = !request.over && request.out == null && !request.begun && now < request.lastSend
-            && request.attempts.size() < settings.limits().maxAttempts();
-        boolean listed = member.group == request.group && member.phase == Phase.SERVING;
-        boolean proven = settings.data().behind() != Behind.ANSWERS || freshness.isEligible(request, member, now);
-        return open && listed && proven && (request.mayHaveRun == null || repeatable(request, member))
-            && slowStart.isWithinBudget(member, work(request), now);
+    private boolean isPermitted(Request request, Member member) {
+        boolean maySend = !request.finished && request.currentAttempt == null && !request.answerStarted
+            && now < request.sendDeadline && request.attempts.size() < settings.limits().maxAttempts();
+        boolean serving = member.group == request.group && member.phase == Phase.SERVING;
+        boolean freshEnough = settings.replication().staleReadHandling() != StaleReadHandling.SERVES
+            || freshness.isEligible(request, member, now);
+        return maySend && serving && freshEnough && (request.possiblyExecuted == null || mayRepeat(request, member))
+            && slowStart.isWithinBudget(member, relativeWork(request), now);
     }
 
-    private boolean repeatable(Request request, Member member) {
-        Attempt first = request.mayHaveRun;
-        return switch (request.kind.effect()) {
+    private boolean mayRepeat(Request request, Member member) {
+        Attempt first = request.possiblyExecuted;
+        return switch (request.requestClass.retrySafety()) {
             case IDEMPOTENT -> true;
             case AT_MOST_ONCE -> false;
-            case DEDUPLICATED -> now < first.sentAt() + request.kind.repeatWindow() - tick
-                && (request.kind.repeatScope() != RepeatScope.ZONE || member.zone == first.member().zone);
+            case DEDUPLICATED -> now < first.sentAt() + request.requestClass.deduplicationWindow() - tickInterval
+                && (request.requestClass.deduplicationScope() != DeduplicationScope.ZONE || member.zone == first.member().zone);
         };
     }
 
-    private double work(Request request) {
-        return classMean[request.classIndex()] * classMean.length / sumOfMeans;
+    /** The expected work of a request, in units of the mean over all request classes. */
+    private double relativeWork(Request request) {
+        return meanLatency[request.classIndex()] * meanLatency.length / sumOfMeanLatencies;
     }
 
     private boolean send(Request request, Member member) {
-        if (!permitted(request, member)) {
+        if (!isPermitted(request, member)) {
             return false;
         }
         Attempt attempt = new Attempt(request, request.attempts.size(), member, now);
         request.attempts.add(attempt);
-        request.tried.add(member);
-        request.out = attempt;
-        member.open.add(attempt);
-        busy.add(member);
-        member.sentAt = now;
-        slowStart.onSent(member, work(request), now);
-        member.trialAt = member.suspectSince != NONE || member.down ? now : member.trialAt;
-        actions.add(new Send(request.id(), member.id, request.end - now));
+        request.triedMembers.add(member);
+        request.currentAttempt = attempt;
+        member.attemptsInFlight.add(attempt);
+        membersWithAttempts.add(member);
+        member.lastSentAt = now;
+        slowStart.onSent(member, relativeWork(request), now);
+        member.lastTrialAt = member.suspectSince != NONE || member.unreachable ? now : member.lastTrialAt;
+        actions.add(new Send(request.id(), member.id, request.deadline - now));
         return true;
     }
 
-    // ---- What follows an outcome
+    // ---- Outcomes of attempts
 
-    private void follow(Request request, Attempt attempt, Outcome outcome) {
+    private void continueAfter(Request request, Attempt attempt, Outcome outcome) {
         switch (outcome.result()) {
-            case NOT_CONNECTED, REJECTED -> pending.add(request);
-            case MISSED -> {
-                if (request.kind.need() == Need.WRITE) {
+            case NOT_CONNECTED, REJECTED -> requestsToRoute.add(request);
+            case MISDIRECTED -> {
+                if (request.requestClass.consistency() == Consistency.WRITE) {
                     updateRole(attempt.member(), Role.REPLICA, now);
-                    request.group.members.forEach(m -> probes.urgent(m, now));
-                    request.tried.remove(attempt.member());
+                    request.group.members.forEach(m -> probeScheduler.probeUrgently(m, now));
+                    request.triedMembers.remove(attempt.member());
                 } else {
-                    attempt.member().positionAt = Long.MIN_VALUE; // lags more than was thought
-                    attempt.member().missedAt = now;
-                    probes.urgent(attempt.member(), now);
+                    attempt.member().positionAsOf = Long.MIN_VALUE; // it lags more than its last position suggested
+                    attempt.member().staleReadRefusedAt = now;
+                    probeScheduler.probeUrgently(attempt.member(), now);
                 }
-                pending.add(request);
+                requestsToRoute.add(request);
             }
             case ERROR, TIMED_OUT, RESET, CANCELLED -> {
-                request.mayHaveRun = request.mayHaveRun == null ? attempt : request.mayHaveRun;
-                pending.add(request); // what may not be repeated finds no way through the gate, and ends
+                request.possiblyExecuted = request.possiblyExecuted == null ? attempt : request.possiblyExecuted;
+                requestsToRoute.add(request); // ends if it may not be repeated: no send is permitted, none queued
             }
-            case OK, NEVER_SENT -> end(request);
+            case OK, NEVER_SENT -> endUnanswered(request);
         }
     }
 
-    // ---- Holding and ending
+    // ---- Queueing and ending requests
 
     /**
-     * Holds are bounded: writes as long as they have worth, reads over a short burst only: a client that is
-     * refused soon can ask again in time.
+     * Whether a request may be queued: a write while an answer can still have value, a read only for a short burst, because a
+     * client that is refused soon can retry in time.
      */
-    private boolean worthHolding(Request request) {
-        long until = request.kind.need() != Need.WRITE ? request.at + (long) (HOLD_PART * request.kind.aim())
-            : request.lastSend - (long) classMean[request.classIndex()];
+    private boolean mayQueue(Request request) {
+        long until = request.requestClass.consistency() != Consistency.WRITE
+            ? request.firstRequestedAt + (long) (READ_QUEUE_SHARE * request.requestClass.latencyTarget())
+            : request.sendDeadline - (long) meanLatency[request.classIndex()];
         return now < until && request.attempts.size() < settings.limits().maxAttempts()
-            && (request.mayHaveRun == null || request.kind.effect() == Effect.IDEMPOTENT);
+            && (request.possiblyExecuted == null || request.requestClass.retrySafety() == RetrySafety.IDEMPOTENT);
     }
 
-    /** Held requests that are still in time go first, the newest of them first: they have the best chance. */
-    private void resume(Group group) {
-        if (group.held.stream().anyMatch(freshness::needsPrimary)) {
-            probes.searchPrimary(group, now);
+    /** Routes queued requests again: those within their latency target first, newest first, as these are likeliest to meet it. */
+    private void resumeQueued(Group group) {
+        if (group.queued.stream().anyMatch(freshness::requiresPrimary)) {
+            probeScheduler.searchPrimary(group, now);
         }
-        group.held.removeIf(r -> r.over);
-        group.held.sort(Comparator.comparing((Request r) -> now > r.at + r.kind.aim())
-            .thenComparing(r -> -r.at));
-        pending.addAll(group.held);
-        group.held.clear();
+        group.queued.removeIf(r -> r.finished);
+        group.queued.sort(Comparator.comparing((Request r) -> now > r.firstRequestedAt + r.requestClass.latencyTarget())
+            .thenComparing(r -> -r.firstRequestedAt));
+        requestsToRoute.addAll(group.queued);
+        group.queued.clear();
     }
 
-    /** The one place that ends a request: refuses where nothing can have run, else fails. */
-    private void end(Request request) {
-        boolean harmless = request.kind.effect() == Effect.IDEMPOTENT
-            || request.mayHaveRun == null && request.out == null
-            || request.kind.effect() == Effect.DEDUPLICATED && request.kind.repeatScope() == RepeatScope.ALL;
+    /** Ends a request without an answer: refuses it if a retry is harmless, else fails it. */
+    private void endUnanswered(Request request) {
+        boolean retryHarmless = request.requestClass.retrySafety() == RetrySafety.IDEMPOTENT
+            || request.possiblyExecuted == null && request.currentAttempt == null
+            || request.requestClass.retrySafety() == RetrySafety.DEDUPLICATED
+            && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
         long id = request.id();
-        // Come back soon while that can be in time; later than that, asking again is only load.
-        long soon = now < request.at + request.kind.aim() / 2 ? (long) (HOLD_PART * request.kind.aim())
-            : settings.limits().maxRetryAfter();
-        actions.add(!harmless ? new Fail(id) : new Refuse(id, settings.limits().retryAfter() ? soon : 0));
-        recall(request);
-        close(request);
+        // A retry is suggested soon while it can still meet the latency target; after that it would only add load.
+        long retryAfter = now < request.firstRequestedAt + request.requestClass.latencyTarget() / 2
+            ? (long) (READ_QUEUE_SHARE * request.requestClass.latencyTarget()) : settings.limits().maxRetryAfter();
+        actions.add(!retryHarmless ? new Fail(id) : new Refuse(id, settings.limits().retryAfterHints() ? retryAfter : 0));
+        cancelAttempt(request);
+        finish(request);
     }
 
-    private void recall(Request request) {
-        if (settings.limits().cancel() && request.out != null && !request.begun) {
-            actions.add(new Cancel(request.id(), request.out.number()));
+    private void cancelAttempt(Request request) {
+        if (settings.limits().cancellation() && request.currentAttempt != null && !request.answerStarted) {
+            actions.add(new Cancel(request.id(), request.currentAttempt.number()));
         }
     }
 
-    private void close(Request request) {
-        request.over = true;
+    private void finish(Request request) {
+        request.finished = true;
         deadlines.remove(request);
-        if (request.out == null) {
+        if (request.currentAttempt == null) {
             requests.remove(request.id());
         }
     }
 
     private void onTick() {
-        if (now >= askAt) {
-            askAt = Long.MAX_VALUE;
+        if (now >= subscribeAt) {
+            subscribeAt = Long.MAX_VALUE;
             actions.add(new Subscribe());
         }
         endOverdue();
-        List.copyOf(leaving).forEach(this::forgetIfGone);
-        List.copyOf(busy).stream().filter(m -> m.phase == Phase.SERVING).forEach(this::watchSilence);
+        List.copyOf(goneMembers).forEach(this::forgetIfGone);
+        List.copyOf(membersWithAttempts).stream().filter(m -> m.phase == Phase.SERVING).forEach(this::detectSilence);
         slowStart.tick(now);
-        probes.tick(members.size(), now);
-        GossipMessage.encode(settings.zone(), news).forEach(datagram -> actions.add(new Tell(NONE, datagram)));
-        news.clear();
+        probeScheduler.tick(members.size(), now);
+        GossipMessage.encode(settings.zone(), observationsToShare)
+            .forEach(datagram -> actions.add(new SendPeerMessage(NONE, datagram)));
+        observationsToShare.clear();
     }
 
-    /** Ends requests that have nothing out when no attempt may begin any more, others at their end. */
+    /** Ends requests without an attempt in flight at their send deadline, others at their deadline. */
     private void endOverdue() {
         for (Request request = deadlines.poll(now); request != null; request = deadlines.poll(now)) {
-            if (request.over || request.begun) {
+            if (request.finished || request.answerStarted) {
                 continue;
             }
-            if (request.out == null || now >= request.end) {
-                end(request);
+            if (request.currentAttempt == null || now >= request.deadline) {
+                endUnanswered(request);
             } else {
-                deadlines.put(request, request.end);
+                deadlines.put(request, request.deadline);
             }
         }
     }
 
-    /** Routers run for weeks, ids are new: what is gone is forgotten. Harm: one listed again is unknown. */
+    /**
+     * Releases the state of a member that is gone: routers run for weeks, and new members have new ids. Drawback: a member that
+     * is listed again starts without any state.
+     */
     private void forgetIfGone(Member member) {
         if (member.phase != Phase.GONE) {
-            leaving.remove(member);
-        } else if (member.open.isEmpty() && !member.probing) {
-            leaving.remove(member);
-            probes.forget(member);
+            goneMembers.remove(member);
+        } else if (member.attemptsInFlight.isEmpty() && !member.probeInFlight) {
+            goneMembers.remove(member);
+            probeScheduler.forget(member);
             slowStart.forget(member, now);
             member.group.members.remove(members.remove(member.id));
             actions.add(new Forget(member.id));
@@ -710,27 +749,28 @@
     }
 
     /**
-     * Guards against members that take work and answer nothing, whatever the cause: attempts that may be
-     * repeated are taken back and go elsewhere. Harm: a long pause of a sound member costs the work it held.
+     * Guards against members that accept requests but answer none, whatever the cause: their idempotent attempts are cancelled
+     * and sent elsewhere. Drawback: a long pause of a healthy member costs the work that it had in progress.
      */
-    private void watchSilence(Member member) {
-        double missing = 0;
-        for (Attempt attempt : member.open) {
-            long silent = now - Math.max(attempt.sentAt(), answeredAt(member));
-            missing += late(attempt) && answeredAt(member) > attempt.sentAt() ? 0
-                : silent / (attempt.request().kind.aim() * strain(member));
-        }
-        if (missing < SILENCE) {
+    private void detectSilence(Member member) {
+        double missedLatencies = 0;
+        for (Attempt attempt : member.attemptsInFlight) {
+            long silence = now - Math.max(attempt.sentAt(), lastAnswerHeardAt(member));
+            missedLatencies += isOverdue(attempt) && lastAnswerHeardAt(member) > attempt.sentAt() ? 0
+                : silence / (attempt.request().requestClass.latencyTarget() * latencyRatio(member));
+        }
+        if (missedLatencies < SILENCE_THRESHOLD) {
             return;
         }
         if (member.suspectSince == NONE) {
-            member.suspectSince = member.trialAt = now;
-            probes.urgent(member, now);
-        }
-        long silentOnes = member.group.members.stream().filter(m -> m.suspectSince != NONE).count();
-        if (2 * silentOnes <= member.group.members.size()) {
-            member.open.stream().map(Attempt::request)
-                .filter(r -> r.kind.effect() == Effect.IDEMPOTENT && !r.over).forEach(this::recall);
+            member.suspectSince = member.lastTrialAt = now;
+            probeScheduler.probeUrgently(member, now);
+        }
+        long suspects = member.group.members.stream().filter(m -> m.suspectSince != NONE).count();
+        if (2 * suspects <= member.group.members.size()) {
+            member.attemptsInFlight.stream().map(Attempt::request)
+                .filter(r -> r.requestClass.retrySafety() == RetrySafety.IDEMPOTENT && !r.finished)
+                .forEach(this::cancelAttempt);
         }
     }
 }
--- a/core/src/main/java/ledgewall/RoutingPolicy.java
+++ b/core/src/main/java/ledgewall/RoutingPolicy.java
@@ -48,7 +48,7 @@
     /** A member's state in the member list. */
     enum Phase { SERVING, DRAINING, GONE }
 
-    /** Only the changed members, all members, a copy saved by an earlier run, or a failure to get a list. */
+    /** Only the changed members, all members, the members known from before the start, or a failure to get a list. */
     enum ListKind { DELTA, FULL, CACHED, FAILED }
 
     /**
@@ -156,7 +156,7 @@
     record Outcome(long request, int attempt, String member, Result result, long elapsed, boolean complete,
                    Role role, long position, Report report) implements Event { }
 
-    /** The first part of a member's answer has been passed to the client. */
+    /** The first part of a member's answer has arrived: the request must not be sent elsewhere any more. */
     record AnswerStarted(long request, int attempt, String member) implements Event { }
 
     /** The client no longer waits for an answer: it is gone, or the router has answered without the policy. */
--- a/core/src/main/java/ledgewall/SlowStart.java
+++ b/core/src/main/java/ledgewall/SlowStart.java
@@ -3,108 +3,112 @@
 import ledgewall.RoutingPolicy.*;
 
 /**
- * Slow start: this router's part of what a cold member may take in any window, from the best mean rate at which warm members
- * of that kind have served this router. Such rates, over all routers, add up to what one can do; the best of single
- * members would not, for the few answers of each come in bursts.
+ * Slow start: limits what this router sends to a cold member in any overload window. The limit derives from the highest mean
+ * rate at which warm members of the same kind have served this router. Such rates, summed over all routers, match the capacity
+ * of one member; the highest rates of single members would exceed it, because the few answers of each come in bursts.
  */
 final class SlowStart {
-    private static final long SECOND = 1_000_000_000L;
-    /** Part of a cold member's budget that is spent: the rest is for chance. */
-    private static final double BUDGET_PART = 0.7;
-    /** Sends in a window that a cold member gets of all routers even when nothing is known of its size. */
-    private static final double LEAST_BUDGET = 6;
-    /** The golden section: turns that follow it are spread evenly over routers and over time. */
-    private static final double TURN = 0.618034;
-    /** Lists are about so late, in nanoseconds. */
-    static final long LIST_AGE = 5 * SECOND;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    /** The part of a cold member's budget that is used: the rest is a margin for random variation. */
+    private static final double BUDGET_SAFETY_FACTOR = 0.7;
+    /** Requests per window that all routers together send to a cold member even when its capacity is unknown. */
+    private static final double MIN_FLEET_BUDGET = 6;
+    /** The golden ratio's fraction: multiples of it modulo 1 are spread evenly over routers and over time. */
+    private static final double GOLDEN_RATIO_FRACTION = 0.618034;
+    /** The typical delay of the member list, in nanoseconds. */
+    static final long LIST_DELAY = 5 * NANOS_PER_SECOND;
 
-    /** Work, in units of mean work, that was sent to a cold member. */
-    record Spent(long at, double work) { }
+    /** Work that was sent to a cold member at {@code at}, in units of the mean work of a request. */
+    record ColdSend(long at, double work) { }
 
     private final Settings settings;
-    private final Rules rules;
+    private final Constraints constraints;
+    /** Members that are usable but not yet warm, by the time at which they will be. */
     private final DueQueue<Member> warming = new DueQueue<>();
 
     SlowStart(Settings settings) {
         this.settings = settings;
-        this.rules = settings.rules();
+        this.constraints = settings.constraints();
     }
 
     boolean isWithinBudget(Member member, double work, long now) {
         long age = age(member, now);
-        if (age >= rules.warmAfter()) {
-            member.spent.clear();
+        if (age >= constraints.warmUpTime()) {
+            member.coldSends.clear();
             return true;
         }
-        member.spent.removeIf(spent -> spent.at() <= now - rules.overloadWindow());
-        double present = rules.coldShare() + (1 - rules.coldShare()) * age / rules.warmAfter();
-        double budget = BUDGET_PART * rules.overloadFactor() * present * rules.overloadWindow() / SECOND
-            * member.kind.peakRate();
-        // Many routers' shares are parts of a send. Whose turn it is to round up goes by rank and window, so
-        // a cold member that all turn to at once (its group's new primary) still meets only its budget.
-        double share = Math.max(budget, LEAST_BUDGET / settings.routers());
-        double turn = now / rules.overloadWindow() * TURN + settings.rank() / (double) settings.routers();
-        return member.spent.stream().mapToDouble(Spent::work).sum() + work <= share + turn % 1 * work;
+        member.coldSends.removeIf(send -> send.at() <= now - constraints.overloadWindow());
+        double capacityShare = constraints.coldCapacityShare()
+            + (1 - constraints.coldCapacityShare()) * age / constraints.warmUpTime();
+        double budget = BUDGET_SAFETY_FACTOR * constraints.overloadFactor() * capacityShare * constraints.overloadWindow()
+            / NANOS_PER_SECOND * member.kind.peakRate();
+        // With many routers, the share of each is a fraction of a request. Rank and window decide which routers round up, so
+        // that a cold member that all of them use at once, such as its group's new primary, still stays within its budget.
+        double share = Math.max(budget, MIN_FLEET_BUDGET / settings.routerCount());
+        double rounding = now / constraints.overloadWindow() * GOLDEN_RATIO_FRACTION
+            + settings.rank() / (double) settings.routerCount();
+        return member.coldSends.stream().mapToDouble(ColdSend::work).sum() + work <= share + rounding % 1 * work;
     }
 
     void onSent(Member member, double work, long now) {
-        member.spent.add(new Spent(now, work));
+        member.coldSends.add(new ColdSend(now, work));
     }
 
-    /** A member has served work at this rate. */
+    /** Adds to the member's served rate, and to its kind's if the member is counted there. */
     void onServed(Member member, double rate, long now) {
         member.servedRate = rate + servedRate(member, now);
-        member.servedAt = now;
-        if (member.counted) {
-            member.kind.add(rate, now);
+        member.servedRateAsOf = now;
+        if (member.countedInKind) {
+            member.kind.addRate(rate, now);
         }
     }
 
-    /** Has a member's served rate count for its kind while it is usable and warm, and only then. */
-    void recount(Member member, long now) {
-        discount(member, now);
-        long sinceBack = Math.min(LIST_AGE, rules.warmAfter());
-        long warmAt = Math.max(member.born == 0 ? Long.MIN_VALUE : member.born + rules.warmAfter(),
-            member.returnedAt + sinceBack);
+    /** Counts the member's served rate in its kind's mean if, and only if, it is usable and warm. */
+    void updateKindMean(Member member, long now) {
+        removeFromKindMean(member, now);
+        long restartWarmUp = Math.min(LIST_DELAY, constraints.warmUpTime());
+        long warmAt = Math.max(member.startedAt == 0 ? Long.MIN_VALUE : member.startedAt + constraints.warmUpTime(),
+            member.restartDetectedAt + restartWarmUp);
         if (member.isUsable() && warmAt > now) {
             warming.put(member, warmAt);
         } else if (member.isUsable()) {
-            member.counted = true;
-            member.kind.join(servedRate(member, now), now);
+            member.countedInKind = true;
+            member.kind.addMember(servedRate(member, now), now);
         }
     }
 
-    /** Has a member's served rate count no longer, as before a change of its kind. */
-    void discount(Member member, long now) {
-        if (member.counted) {
-            member.counted = false;
-            member.kind.leave(servedRate(member, now), now);
+    /** Removes the member's served rate from its kind's mean, as before its kind changes. */
+    void removeFromKindMean(Member member, long now) {
+        if (member.countedInKind) {
+            member.countedInKind = false;
+            member.kind.removeMember(servedRate(member, now), now);
         }
     }
 
-    /** Takes note of the members that have become warm. */
+    /** Counts the members that have become warm. */
     void tick(long now) {
         for (Member member = warming.poll(now); member != null; member = warming.poll(now)) {
-            recount(member, now);
+            updateKindMean(member, now);
         }
     }
 
     void forget(Member member, long now) {
-        discount(member, now);
+        removeFromKindMean(member, now);
         warming.remove(member);
     }
 
     private static double servedRate(Member member, long now) {
-        return MachineKind.decayed(member.servedRate, member.servedAt, now);
+        return MachineKind.decayed(member.servedRate, member.servedRateAsOf, now);
     }
 
     /**
-     * Time since a member started: as listed or, while lists are late, guessed from its return after refused
-     * connections. Harm: a member that was only cut off gets little work for that time.
+     * The time since a member started: as listed or, while the list may not show a restart yet, estimated from when it was
+     * reachable again after it had refused connections. Drawback: a member that was only unreachable gets little work for
+     * that time.
      */
     private static long age(Member member, long now) {
-        long back = now - member.returnedAt;
-        long listed = member.born == 0 ? Long.MAX_VALUE : now - member.born;
-        return Math.max(0, back < LIST_AGE ? Math.min(back, listed) : listed);
+        long sinceRestart = now - member.restartDetectedAt;
+        long listedAge = member.startedAt == 0 ? Long.MAX_VALUE : now - member.startedAt;
+        return Math.max(0, sinceRestart < LIST_DELAY ? Math.min(sinceRestart, listedAge) : listedAge);
     }
 }
--- a/core/src/main/java/ledgewall/settings/Fields.java
+++ b/core/src/main/java/ledgewall/settings/Fields.java
@@ -8,12 +8,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** One JSON object with checked access: absent and null read alike, a missing or ill-typed value is named. */
-public record Fields(String where, Map<String, Object> values) {
+/**
+ * A JSON object with checked access: null counts as absent, and the error for a missing or wrongly typed value names it.
+ *
+ * @param location where the object stands in its input, for error messages
+ */
+public record Fields(String location, Map<String, Object> values) {
 
-    /** Reads the object at which the parser stands. */
-    public static Fields read(JsonParser parser, String where) throws IOException {
-        return new Fields(where, readObject(parser));
+    /** Reads the object whose start is the current token of the parser. */
+    public static Fields read(JsonParser parser, String location) throws IOException {
+        return new Fields(location, readObject(parser));
     }
 
     private static Object readValue(JsonParser parser) throws IOException {
@@ -47,10 +51,10 @@
     }
 
     public Fields object(String name) {
-        return new Fields(where + ", " + name, asMap(name, values.get(name)));
+        return new Fields(location + ", " + name, asMap(name, values.get(name)));
     }
 
-    /** The objects of an array; none where the array is absent. */
+    /** The objects of an array; none if the array is absent. */
     public List<Fields> objects(String name) {
         Object value = values.get(name);
         if (value == null) {
@@ -58,12 +62,12 @@
         }
         List<Fields> objects = new ArrayList<>();
         for (Object element : array(name, value)) {
-            objects.add(new Fields(where + ", " + name + "[" + objects.size() + "]", asMap(name, element)));
+            objects.add(new Fields(location + ", " + name + "[" + objects.size() + "]", asMap(name, element)));
         }
         return objects;
     }
 
-    /** The numbers or strings of an array; none where the array is absent. */
+    /** The numbers or strings of an array; none if the array is absent. */
     public List<?> elements(String name) {
         Object value = values.get(name);
         return value == null ? List.of() : array(name, value);
@@ -77,40 +81,40 @@
         return required(name, text(name, null));
     }
 
-    public String text(String name, String otherwise) {
-        return typed(name, String.class, otherwise);
+    public String text(String name, String defaultValue) {
+        return typed(name, String.class, defaultValue);
     }
 
     public long integer(String name) {
         return required(name, typed(name, Number.class, null)).longValue();
     }
 
-    public long integer(String name, long otherwise) {
-        return typed(name, Number.class, otherwise).longValue();
+    public long integer(String name, long defaultValue) {
+        return typed(name, Number.class, defaultValue).longValue();
     }
 
-    public double decimal(String name, double otherwise) {
-        return typed(name, Number.class, otherwise).doubleValue();
+    public double decimal(String name, double defaultValue) {
+        return typed(name, Number.class, defaultValue).doubleValue();
     }
 
-    public boolean flag(String name, boolean otherwise) {
-        return typed(name, Boolean.class, otherwise);
+    public boolean flag(String name, boolean defaultValue) {
+        return typed(name, Boolean.class, defaultValue);
     }
 
     private <T> T required(String name, T value) {
         if (value == null) {
-            throw new FormatException(where + ": lacks '" + name + "'");
+            throw new FormatException(location + ": lacks '" + name + "'");
         }
         return value;
     }
 
-    private <T> T typed(String name, Class<T> type, T otherwise) {
+    private <T> T typed(String name, Class<T> type, T defaultValue) {
         Object value = values.get(name);
         if (value == null) {
-            return otherwise;
+            return defaultValue;
         }
         if (!type.isInstance(value)) {
-            throw new FormatException(where + ": '" + name + "' is no " + type.getSimpleName().toLowerCase());
+            throw new FormatException(location + ": '" + name + "' is no " + type.getSimpleName().toLowerCase());
         }
         return type.cast(value);
     }
@@ -119,10 +123,10 @@
         if (value instanceof List<?> list) {
             return list;
         }
-        throw new FormatException(where + ": '" + name + "' is no array");
+        throw new FormatException(location + ": '" + name + "' is no array");
     }
 
-    @SuppressWarnings("unchecked") // objects are only ever read as maps from names
+    @SuppressWarnings("unchecked") // readObject is the only source of maps
     private Map<String, Object> asMap(String name, Object value) {
         if (value == null) {
             return Map.of();
@@ -130,6 +134,6 @@
         if (value instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw new FormatException(where + ": '" + name + "' is no object");
+        throw new FormatException(location + ": '" + name + "' is no object");
     }
 }
--- a/core/src/main/java/ledgewall/settings/FormatException.java
+++ b/core/src/main/java/ledgewall/settings/FormatException.java
@@ -1,6 +1,6 @@
 package ledgewall.settings;
 
-/** Input that is not what its format says: tells what is wrong and where. */
+/** Signals input that does not have its format; the message tells what is wrong and where. */
 public final class FormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/core/src/main/java/ledgewall/settings/TransportLimits.java
+++ b/core/src/main/java/ledgewall/settings/TransportLimits.java
@@ -1,12 +1,13 @@
 package ledgewall.settings;
 
 /**
- * What the settings say of connections and answers, times in nanoseconds and 0 for unlimited.
+ * The limits of connections and answers that the settings give, in nanoseconds; 0 for unlimited.
  *
- * @param connIdle how long a member keeps an idle connection
+ * @param idleTimeout how long a member keeps an idle connection
+ * @param connectTimeout how long connecting to a member may take
  * @param answerSlack how much later than its deadline an answer still counts
- * @param longestDeadline the longest deadline of a class
- * @param reports whether members report on themselves
+ * @param longestTimeout the longest timeout of a request class
+ * @param reports whether members report their own state
  */
-public record TransportLimits(long connIdle, long connectTimeout, long answerSlack, long longestDeadline,
+public record TransportLimits(long idleTimeout, long connectTimeout, long answerSlack, long longestTimeout,
                               boolean reports) { }
--- a/core/src/main/java/ledgewall/settings/Vocabulary.java
+++ b/core/src/main/java/ledgewall/settings/Vocabulary.java
@@ -2,5 +2,5 @@
 
 import java.util.List;
 
-/** Names by the index that the policy knows them by. */
+/** The names behind the indexes that the policy uses for classes, tenants, zones and kinds of machine. */
 public record Vocabulary(List<String> classes, List<String> tenants, List<String> zones, List<String> kinds) { }
