--- a/core/src/test/java/ledgewall/DueQueueTest.java
+++ b/core/src/test/java/ledgewall/DueQueueTest.java
@@ -13,7 +13,7 @@
     private final DueQueue<String> queue = new DueQueue<>();
 
     @Test
-    void anItemIsDueAtTheTimeGivenLast() {
+    void itemIsDueAtTheTimeGivenLast() {
         queue.put("a", 10);
         queue.put("b", 20);
         queue.put("a", 30);
@@ -25,33 +25,33 @@
     }
 
     @Test
-    void whatIsRemovedBeforeItsTimeTakesNoMemory() {
+    void itemsRemovedBeforeTheyAreDueDoNotAccumulate() {
         for (int i = 0; i < 100_000; i++) {
             queue.put("request " + i, Long.MAX_VALUE - i);
             queue.remove("request " + i);
         }
-        assertTrue(queue.size() < 1_000, "entries " + queue.size());
+        assertTrue(queue.entryCount() < 1_000, "entries " + queue.entryCount());
     }
 
     @Test
-    void itAgreesWithAMapThatIsSearched() {
+    void randomOperationsGiveTheSameResultsAsAReferenceMap() {
         SplittableRandom random = new SplittableRandom(28);
-        Map<String, Long> model = new TreeMap<>();
+        Map<String, Long> reference = new TreeMap<>();
         for (int step = 0; step < 20_000; step++) {
             String item = "i" + random.nextInt(50);
             if (random.nextInt(4) == 0) {
                 queue.remove(item);
-                model.remove(item);
+                reference.remove(item);
             } else {
                 long at = step + random.nextInt(200);
                 queue.put(item, at);
-                model.put(item, at);
+                reference.put(item, at);
             }
             long now = step;
             for (String due = queue.poll(now); due != null; due = queue.poll(now)) {
-                assertTrue(model.remove(due) <= now, due);
+                assertTrue(reference.remove(due) <= now, due);
             }
-            assertTrue(model.values().stream().allMatch(at -> at > now));
+            assertTrue(reference.values().stream().allMatch(at -> at > now));
         }
     }
 }
--- a/core/src/test/java/ledgewall/PolicyFleet.java
+++ b/core/src/test/java/ledgewall/PolicyFleet.java
@@ -13,58 +13,59 @@
 import ledgewall.RoutingPolicy.*;
 
 /**
- * Many instances of the module in one thread and one time: members that answer after a fixed time, datagrams that arrive
- * after 10 ms, and requests that come evenly to routers drawn from one seed.
+ * Simulates the policies of many routers in one thread with a virtual clock: members answer after a fixed delay, datagrams
+ * arrive after 10 ms, and requests come at a constant rate to routers drawn from one seed.
  */
 final class PolicyFleet {
-    static final long PROBE_TIME = 2 * MS;
-    private static final long ANSWER_TIME = 100 * MS;
-    private static final long DATAGRAM_TIME = 10 * MS;
-    private static final long TURN = 5 * MS;
+    static final long PROBE_DELAY = 2 * MS;
+    private static final long ANSWER_DELAY = 100 * MS;
+    private static final long DATAGRAM_DELAY = 10 * MS;
+    private static final long STEP = 5 * MS;
 
-    /** What a member does, and what came to it. */
-    static final class Host {
+    /** How a member behaves, and when it was probed or sent a request. */
+    static final class SimulatedMember {
         final Role role;
         final long group;
-        boolean gone;
-        final List<Long> probes = new ArrayList<>();
-        final List<Long> sends = new ArrayList<>();
+        boolean unreachable;
+        final List<Long> probeTimes = new ArrayList<>();
+        final List<Long> sendTimes = new ArrayList<>();
 
-        Host(Role role, long group) {
+        SimulatedMember(Role role, long group) {
             this.role = role;
             this.group = group;
         }
     }
 
-    private record Due(long at, long number, int router, Event event) { }
+    private record ScheduledEvent(long at, long sequence, int router, Event event) { }
 
-    final Map<String, Host> hosts = new LinkedHashMap<>();
+    final Map<String, SimulatedMember> members = new LinkedHashMap<>();
     final List<ReplicaRoutingPolicy> routers = new ArrayList<>();
-    final Map<Integer, Integer> probesBy = new HashMap<>();
-    boolean cutOff;
+    final Map<Integer, Integer> probesByRouter = new HashMap<>();
+    /** Whether datagrams between routers are lost. */
+    boolean dropsDatagrams;
     long now = 1_000 * SECOND;
-    int refused;
-    /** Findings' datagrams that reached a router. */
-    int heard;
-    private final boolean peers;
-    int asked;
-    private final PriorityQueue<Due> due = new PriorityQueue<>(
-        (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.number(), b.number()));
+    int refusedRequests;
+    /** Datagrams with observations that reached a router. */
+    int receivedDatagrams;
+    private final boolean peerMessages;
+    int requestCount;
+    private final PriorityQueue<ScheduledEvent> scheduledEvents = new PriorityQueue<>(
+        (a, b) -> a.at() != b.at() ? Long.compare(a.at(), b.at()) : Long.compare(a.sequence(), b.sequence()));
     private final SplittableRandom random = new SplittableRandom(11);
-    private long number;
+    private long nextSequence;
     private long nextRequest;
 
     PolicyFleet(int routers, int groups) {
         this(routers, groups, true);
     }
 
-    /** Routers may tell one another what they find, or may not. */
-    PolicyFleet(int routers, int groups, boolean peers) {
-        this.peers = peers;
+    /** {@code peerMessages} tells whether routers may send each other messages. */
+    PolicyFleet(int routers, int groups, boolean peerMessages) {
+        this.peerMessages = peerMessages;
         for (int group = 0; group < groups; group++) {
-            hosts.put("p" + group, new Host(Role.PRIMARY, group));
-            hosts.put("a" + group, new Host(Role.REPLICA, group));
-            hosts.put("b" + group, new Host(Role.REPLICA, group));
+            members.put("p" + group, new SimulatedMember(Role.PRIMARY, group));
+            members.put("a" + group, new SimulatedMember(Role.REPLICA, group));
+            members.put("b" + group, new SimulatedMember(Role.REPLICA, group));
         }
         for (int rank = 0; rank < routers; rank++) {
             this.routers.add(null);
@@ -73,96 +74,96 @@
     }
 
     private void start(int rank, int count) {
-        Settings alone = PolicyHarness.settings(count, rank);
-        Limits limits = alone.limits();
-        Settings settings = new Settings(count, rank, 0, alone.tick(), false, alone.classes(), alone.tenants(), 1,
-            new Limits(limits.maxAttempts(), true, true, true, peers, false, 0, limits.connectTimeout(), 1000),
-            alone.data(), alone.rules());
+        Settings base = PolicyHarness.settings(count, rank);
+        Limits limits = base.limits();
+        Settings settings = new Settings(count, rank, 0, base.tickInterval(), false, base.classes(), base.tenants(), 1,
+            new Limits(limits.maxAttempts(), true, true, true, peerMessages, false, 0, limits.connectTimeout(), 1000),
+            base.replication(), base.constraints());
         routers.set(rank, new ReplicaRoutingPolicy(settings, 100 + rank));
-        tell(rank, 0, list(ListKind.REMEMBERED));
+        schedule(rank, 0, memberList(ListKind.CACHED));
     }
 
-    /** The same router again, empty, with another seed of no consequence to others. */
-    void restart(int rank) {
-        due.removeIf(d -> d.router() == rank);
+    /** Replaces a router by one without any state. */
+    void restartRouter(int rank) {
+        scheduledEvents.removeIf(event -> event.router() == rank);
         start(rank, routers.size());
     }
 
-    MemberList list(ListKind kind) {
-        return new MemberList(kind, hosts.entrySet().stream().map(e ->
+    MemberList memberList(ListKind kind) {
+        return new MemberList(kind, members.entrySet().stream().map(e ->
             new Listing(e.getKey(), e.getValue().group, 0, 0, Phase.SERVING, 1, false, 0)).toList());
     }
 
-    /** All routers hear that the member started just now. */
-    void restarted(String member) {
+    /** Sends all routers a list in which the member has just started. */
+    void announceRestart(String member) {
         for (int rank = 0; rank < routers.size(); rank++) {
-            tell(rank, 0, new MemberList(ListKind.CHANGES, List.of(
-                new Listing(member, hosts.get(member).group, 0, 0, Phase.SERVING, 1, false, now))));
+            schedule(rank, 0, new MemberList(ListKind.DELTA, List.of(
+                new Listing(member, members.get(member).group, 0, 0, Phase.SERVING, 1, false, now))));
         }
     }
 
-    void tell(int router, long delay, Event event) {
-        due.add(new Due(now + delay, number++, router, event));
+    void schedule(int router, long delay, Event event) {
+        scheduledEvents.add(new ScheduledEvent(now + delay, nextSequence++, router, event));
     }
 
-    /** Lets time pass with so many requests a second over all routers, a third of each class. */
-    void pass(long span, double rate) {
-        long until = now + span;
-        double owed = 0;
+    /** Advances the time with {@code rate} requests per second over all routers, a third of each class. */
+    void advance(long duration, double rate) {
+        long until = now + duration;
+        double outstanding = 0;
         while (now < until) {
-            now += TURN;
-            owed += rate * TURN / SECOND;
-            for (; owed >= 1; owed--) {
+            now += STEP;
+            outstanding += rate * STEP / SECOND;
+            for (; outstanding >= 1; outstanding--) {
                 int router = random.nextInt(routers.size());
-                long group = random.nextInt(hosts.size() / 3);
-                int kind = random.nextInt(3);
-                asked++;
-                tell(router, 0, new Arrival(nextRequest++, kind, 0, group, 5, kind == PolicyHarness.WRITE ? 5 * SECOND : 700 * MS,
-                    RoutingPolicy.NONE, false));
+                long group = random.nextInt(members.size() / 3);
+                int requestClass = random.nextInt(3);
+                requestCount++;
+                schedule(router, 0, new Arrival(nextRequest++, requestClass, 0, group, 5,
+                    requestClass == PolicyHarness.WRITE ? 5 * SECOND : 700 * MS, RoutingPolicy.NONE, false));
             }
-            turn();
+            step();
         }
     }
 
-    private void turn() {
+    private void step() {
         Map<Integer, List<Event>> batches = new LinkedHashMap<>();
-        while (!due.isEmpty() && due.peek().at() <= now) {
-            Due next = due.poll();
+        while (!scheduledEvents.isEmpty() && scheduledEvents.peek().at() <= now) {
+            ScheduledEvent next = scheduledEvents.poll();
             batches.computeIfAbsent(next.router(), r -> new ArrayList<>()).add(next.event());
         }
-        batches.forEach((rank, events) -> routers.get(rank).decide(now, events).forEach(a -> carryOut(rank, a)));
+        batches.forEach((rank, events) -> routers.get(rank).decide(now, events).forEach(a -> execute(rank, a)));
     }
 
-    private void carryOut(int rank, Action action) {
+    private void execute(int rank, Action action) {
         if (action instanceof Probe probe) {
-            Host host = hosts.get(probe.member());
-            host.probes.add(now);
-            probesBy.merge(rank, 1, Integer::sum);
-            tell(rank, host.gone ? 250 * MS : PROBE_TIME, host.gone
+            SimulatedMember member = members.get(probe.member());
+            member.probeTimes.add(now);
+            probesByRouter.merge(rank, 1, Integer::sum);
+            schedule(rank, member.unreachable ? 250 * MS : PROBE_DELAY, member.unreachable
                 ? new ProbeResult(probe.member(), Result.NOT_CONNECTED, 250 * MS, null)
-                : new ProbeResult(probe.member(), Result.OK, PROBE_TIME, new Report(now, host.role, Double.NaN, Double.NaN)));
+                : new ProbeResult(probe.member(), Result.OK, PROBE_DELAY, new Report(now, member.role, Double.NaN, Double.NaN)));
         } else if (action instanceof Send send) {
-            Host host = hosts.get(send.member());
-            host.sends.add(now);
-            Result result = host.gone ? Result.NOT_CONNECTED : Result.OK;
-            tell(rank, ANSWER_TIME, new Outcome(send.request(), 0, send.member(), result, ANSWER_TIME,
-                !host.gone, host.gone ? Role.UNKNOWN : host.role, RoutingPolicy.NONE, null));
+            SimulatedMember member = members.get(send.member());
+            member.sendTimes.add(now);
+            Result result = member.unreachable ? Result.NOT_CONNECTED : Result.OK;
+            schedule(rank, ANSWER_DELAY, new Outcome(send.request(), 0, send.member(), result, ANSWER_DELAY,
+                !member.unreachable, member.unreachable ? Role.UNKNOWN : member.role, RoutingPolicy.NONE, null));
         } else if (action instanceof SetTimer timer) {
-            tell(rank, Math.max(0, timer.at() - now), new TimerDue(timer.handle()));
-        } else if (action instanceof Tell tell) {
-            for (int other = 0; other < routers.size() && !cutOff; other++) {
+            schedule(rank, Math.max(0, timer.at() - now), new TimerFired(timer.handle()));
+        } else if (action instanceof SendPeerMessage message) {
+            for (int other = 0; other < routers.size() && !dropsDatagrams; other++) {
                 if (other != rank) {
-                    heard++;
-                    tell(other, DATAGRAM_TIME, new PeerMessage(rank, tell.content()));
+                    receivedDatagrams++;
+                    schedule(other, DATAGRAM_DELAY, new PeerMessage(rank, message.content()));
                 }
             }
         } else if (action instanceof Refuse || action instanceof Fail) {
-            refused++;
+            refusedRequests++;
         }
     }
 
-    /** Probes of the member that came to it since then, of all routers. */
-    int probes(String member, long since) {
-        return (int) hosts.get(member).probes.stream().filter(at -> at >= since).count();
+    /** The number of probes by all routers that the member received since that time. */
+    int probesSince(String member, long since) {
+        return (int) members.get(member).probeTimes.stream().filter(at -> at >= since).count();
     }
 }
--- a/core/src/test/java/ledgewall/PolicyHarness.java
+++ b/core/src/test/java/ledgewall/PolicyHarness.java
@@ -4,21 +4,22 @@
 import java.util.List;
 import ledgewall.RoutingPolicy.*;
 
-/** Feeds a module one moment after another and keeps what it asked for. */
+/** Drives a policy with events at increasing times and records its actions. */
 final class PolicyHarness {
     static final long MS = 1_000_000L;
     static final long SECOND = 1_000 * MS;
+    // Request classes by index
     static final int BOUNDED = 0;
     static final int ANY = 1;
     static final int WRITE = 2;
 
-    final List<Action> log = new ArrayList<>();
-    final ReplicaRoutingPolicy brain;
+    final List<Action> allActions = new ArrayList<>();
+    final ReplicaRoutingPolicy policy;
     long now;
     private long nextRequest = 1;
 
     PolicyHarness(Settings settings, long start) {
-        brain = new ReplicaRoutingPolicy(settings, 7);
+        policy = new ReplicaRoutingPolicy(settings, 7);
         now = start;
     }
 
@@ -26,95 +27,97 @@
         this(settings, 1_000 * SECOND);
     }
 
-    static Rules rules() {
-        return new Rules(20 * MS, 10 * SECOND, 500 * MS, false, 0.2, 10 * SECOND, 3, 2 * SECOND);
+    static Constraints constraints() {
+        return new Constraints(20 * MS, 10 * SECOND, 500 * MS, false, 0.2, 10 * SECOND, 3, 2 * SECOND);
     }
 
-    static Settings settings(Effect writes, Behind behind, boolean ask) {
-        return settings(writes, behind, ask, 2, 0);
+    static Settings settings(RetrySafety writeSafety, StaleReadHandling staleReads, boolean subscribes) {
+        return settings(writeSafety, staleReads, subscribes, 2, 0);
     }
 
     static Settings settings(int routers, int rank) {
-        return settings(Effect.AT_MOST_ONCE, Behind.REFUSES, false, routers, rank);
+        return settings(RetrySafety.AT_MOST_ONCE, StaleReadHandling.REFUSES, false, routers, rank);
     }
 
-    private static Settings settings(Effect writes, Behind behind, boolean ask, int routers, int rank) {
-        return new Settings(routers, rank, 0, 5 * MS, ask,
+    private static Settings settings(RetrySafety writeSafety, StaleReadHandling staleReads, boolean subscribes, int routers,
+                                     int rank) {
+        return new Settings(routers, rank, 0, 5 * MS, subscribes,
             List.of(
-                new RequestClass(Need.BOUNDED, SECOND, Effect.IDEMPOTENT, RepeatScope.ALL, 0, 300 * MS, 750 * MS,
-                    2, 0, false),
-                new RequestClass(Need.ANY, 0, Effect.IDEMPOTENT, RepeatScope.ALL, 0, 500 * MS, 1500 * MS, 3, 0.2,
-                    false),
-                new RequestClass(Need.WRITE, 0, writes, RepeatScope.GROUP, SECOND, 300 * MS, 5 * SECOND, 6, 0.5,
-                    false)),
+                new RequestClass(Consistency.BOUNDED, SECOND, RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, 0, 300 * MS,
+                    750 * MS, 2, 0, false),
+                new RequestClass(Consistency.ANY, 0, RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, 0, 500 * MS,
+                    1500 * MS, 3, 0.2, false),
+                new RequestClass(Consistency.WRITE, 0, writeSafety, DeduplicationScope.GROUP, SECOND, 300 * MS,
+                    5 * SECOND, 6, 0.5, false)),
             List.of(), 1, new Limits(4, true, true, true, false, true, 500 * MS, 250 * MS, 1000),
-            new Data(behind, 0, false, false, ListedRole.NEVER, true, true), rules());
+            new ReplicationSettings(staleReads, 0, false, false, ListedRoleTiming.NEVER, true, true), constraints());
     }
 
     static Settings settings() {
-        return settings(Effect.AT_MOST_ONCE, Behind.REFUSES, false);
+        return settings(RetrySafety.AT_MOST_ONCE, StaleReadHandling.REFUSES, false);
     }
 
-    static Listing line(String member, Phase phase, long born) {
-        return new Listing(member, 1, 0, 0, phase, 1, false, born);
+    static Listing listing(String member, Phase phase, long startedAt) {
+        return new Listing(member, 1, 0, 0, phase, 1, false, startedAt);
     }
 
-    static Listing line(String member) {
-        return line(member, Phase.SERVING, 0);
+    static Listing listing(String member) {
+        return listing(member, Phase.SERVING, 0);
     }
 
-    List<Action> feed(Event... events) {
-        List<Action> actions = brain.decide(now, List.of(events));
-        log.addAll(actions);
+    List<Action> process(Event... events) {
+        List<Action> actions = policy.decide(now, List.of(events));
+        allActions.addAll(actions);
         return actions;
     }
 
-    /** Lets time pass, with the module's timers; echoes nothing. */
-    List<Action> pass(long time) {
+    /** Advances the time and fires the policy's timers, without answers to probes or requests. */
+    List<Action> advance(long duration) {
         List<Action> actions = new ArrayList<>();
-        long until = now + time;
+        long until = now + duration;
         while (now < until) {
             now = Math.min(until, now + 5 * MS);
-            actions.addAll(feed(new TimerDue(1)));
+            actions.addAll(process(new TimerFired(1)));
         }
         return actions;
     }
 
-    /** A group of a primary "p" and two replicas "a" and "b", all probed and fresh. */
-    PolicyHarness ready() {
-        feed(new MemberList(ListKind.REMEMBERED, List.of(line("p"), line("a"), line("b"))));
-        echoAll();
+    /** Lists a group of a primary "p" and two replicas "a" and "b", and answers a probe of each with the present position. */
+    PolicyHarness withProbedGroup() {
+        process(new MemberList(ListKind.CACHED, List.of(listing("p"), listing("a"), listing("b"))));
+        answerProbes();
         return this;
     }
 
-    void echoAll() {
-        echo("p", Role.PRIMARY, now);
-        echo("a", Role.REPLICA, now);
-        echo("b", Role.REPLICA, now);
+    void answerProbes() {
+        answerProbe("p", Role.PRIMARY, now);
+        answerProbe("a", Role.REPLICA, now);
+        answerProbe("b", Role.REPLICA, now);
     }
 
-    List<Action> echo(String member, Role role, long position) {
-        return feed(new ProbeResult(member, Result.OK, MS, new Report(position, role, Double.NaN, Double.NaN)));
+    List<Action> answerProbe(String member, Role role, long position) {
+        return process(new ProbeResult(member, Result.OK, MS, new Report(position, role, Double.NaN, Double.NaN)));
     }
 
     Arrival arrival(int requestClass, long timeLeft) {
         return new Arrival(nextRequest++, requestClass, 0, 1, 5, timeLeft, RoutingPolicy.NONE, false);
     }
 
-    List<Action> ask(int requestClass) {
-        return feed(arrival(requestClass, requestClass == WRITE ? 5 * SECOND : 700 * MS));
+    List<Action> sendRequest(int requestClass) {
+        return process(arrival(requestClass, requestClass == WRITE ? 5 * SECOND : 700 * MS));
     }
 
     long lastRequest() {
         return nextRequest - 1;
     }
 
-    List<Action> outcome(long request, int attempt, String member, Result result, Role role) {
+    List<Action> endAttempt(long request, int attempt, String member, Result result, Role role) {
         boolean complete = result == Result.OK;
-        return feed(new Outcome(request, attempt, member, result, 10 * MS, complete, role, RoutingPolicy.NONE, null));
+        return process(new Outcome(request, attempt, member, result, 10 * MS, complete, role, RoutingPolicy.NONE, null));
     }
 
-    static List<String> sends(List<Action> actions) {
+    /** The members of the sends among these actions. */
+    static List<String> sendTargets(List<Action> actions) {
         return actions.stream().filter(Send.class::isInstance).map(a -> ((Send) a).member()).toList();
     }
 
