--- a/core/src/main/java/ledgewall/ReplicaRoutingPolicy.java
+++ b/core/src/main/java/ledgewall/ReplicaRoutingPolicy.java
@@ -170,7 +170,7 @@
             onGossip(GossipMessage.decode(message.content()));
         } else if (event instanceof AnswerStarted started && requests.containsKey(started.request())) {
             requests.get(started.request()).answerStarted = true;
-        } else if (event instanceof RequestAbandoned abandoned && requests.containsKey(abandoned.request())) {
+        } else if (event instanceof Abandoned abandoned && requests.containsKey(abandoned.request())) {
             finish(requests.get(abandoned.request()));
         }
     }
@@ -714,7 +714,7 @@
         slowStart.tick(now);
         probeScheduler.tick(members.size(), now);
         GossipMessage.encode(settings.zone(), observationsToShare)
-            .forEach(datagram -> actions.add(new SendPeerMessage(NONE, datagram)));
+            .forEach(datagram -> actions.add(new SendToPeer(NONE, datagram)));
         observationsToShare.clear();
     }
 
--- a/core/src/main/java/ledgewall/RoutingPolicy.java
+++ b/core/src/main/java/ledgewall/RoutingPolicy.java
@@ -97,7 +97,7 @@
      * @param parallelAttempts whether one request may have several attempts in flight
      * @param cancellation whether {@link Cancel} may be used
      * @param probing whether {@link Probe} may be used
-     * @param peerMessages whether {@link SendPeerMessage} may be used
+     * @param peerMessages whether {@link SendToPeer} may be used
      * @param retryAfterHints whether {@link Refuse} may carry a delay
      */
     record Limits(int maxAttempts, boolean parallelAttempts, boolean cancellation, boolean probing, boolean peerMessages,
@@ -160,7 +160,7 @@
     record AnswerStarted(long request, int attempt, String member) implements Event { }
 
     /** The client no longer waits for an answer: it is gone, or the router has answered without the policy. */
-    record RequestAbandoned(long request) implements Event { }
+    record Abandoned(long request) implements Event { }
 
     record ProbeResult(String member, Result result, long elapsed, Report report) implements Event { }
 
@@ -197,7 +197,7 @@
     record Forget(String member) implements Action { }
 
     /** Sends a message to one peer, or to all where {@code peer} is {@link #NONE}. */
-    record SendPeerMessage(long peer, byte[] content) implements Action { }
+    record SendToPeer(long peer, byte[] content) implements Action { }
 
     record LogMessage(String text) implements Action { }
 }
--- a/core/src/test/java/ledgewall/PolicyFleet.java
+++ b/core/src/test/java/ledgewall/PolicyFleet.java
@@ -150,7 +150,7 @@
                 !member.unreachable, member.unreachable ? Role.UNKNOWN : member.role, RoutingPolicy.NONE, null));
         } else if (action instanceof SetTimer timer) {
             schedule(rank, Math.max(0, timer.at() - now), new TimerFired(timer.handle()));
-        } else if (action instanceof SendPeerMessage message) {
+        } else if (action instanceof SendToPeer message) {
             for (int other = 0; other < routers.size() && !dropsDatagrams; other++) {
                 if (other != rank) {
                     receivedDatagrams++;
--- a/core/src/test/java/ledgewall/ReplicaRoutingPolicyTest.java
+++ b/core/src/test/java/ledgewall/ReplicaRoutingPolicyTest.java
@@ -211,7 +211,7 @@
     void abandonedRequestGetsNoActions() {
         PolicyHarness harness = new PolicyHarness(settings());
         harness.process(new MemberList(ListKind.CACHED, List.of(listing("a"))), harness.arrival(WRITE, SECOND));
-        harness.process(new RequestAbandoned(1));
+        harness.process(new Abandoned(1));
         List<Action> actions = harness.advance(2 * SECOND);
         assertEquals(0, count(actions, Refuse.class) + count(actions, Fail.class) + count(actions, Send.class));
     }
@@ -746,7 +746,7 @@
         harness.now += 60 * SECOND;
         List<Action> actions = harness.process(new TimerFired(0), new TimerFired(0),
             new Outcome(1, 0, member, Result.TIMED_OUT, 700 * MS, false, Role.UNKNOWN, RoutingPolicy.NONE, null),
-            new RequestAbandoned(1), new Outcome(2, 0, "p", Result.TIMED_OUT, 5 * SECOND, false, Role.UNKNOWN,
+            new Abandoned(1), new Outcome(2, 0, "p", Result.TIMED_OUT, 5 * SECOND, false, Role.UNKNOWN,
                 RoutingPolicy.NONE, null), harness.arrival(ANY, 700 * MS));
         assertEquals(List.of(2L), actions.stream().filter(Fail.class::isInstance)
             .map(a -> ((Fail) a).request()).toList());
