--- a/core/src/main/java/ledgewall/ReplicaRoutingPolicy.java
+++ b/core/src/main/java/ledgewall/ReplicaRoutingPolicy.java
@@ -106,6 +106,7 @@
     private boolean remembersWrites;
     private long stalledAt = Long.MIN_VALUE;
     private long now;
+    /** When this policy was first called. */
     private long startedAt = Long.MIN_VALUE;
     private long nextTick = Long.MIN_VALUE;
     private long subscribeAt = Long.MAX_VALUE;
@@ -499,7 +500,7 @@
         if (freshness.usesPositionProbe(request) && waitsForPosition(request)) {
             return null;
         }
-        // Then the primary; if no member seems healthy, the health state rather than all members is assumed to be wrong.
+        // The primary comes last; if no member seems healthy, the health state and not all members is assumed to be wrong.
         boolean allUnhealthy = group.members.stream().noneMatch(this::isHealthy);
         return candidates(request, allUnhealthy
             ? m -> freshness.isEligible(request, m, now) && now >= m.lastTrialAt + TRIAL_INTERVAL
@@ -708,7 +709,7 @@
             subscribeAt = Long.MAX_VALUE;
             actions.add(new Subscribe());
         }
-        endOverdue();
+        endExpired();
         List.copyOf(goneMembers).forEach(this::forgetIfGone);
         List.copyOf(membersWithAttempts).stream().filter(m -> m.phase == Phase.SERVING).forEach(this::detectSilence);
         slowStart.tick(now);
@@ -719,7 +720,7 @@
     }
 
     /** Ends requests without an attempt in flight at their send deadline, others at their deadline. */
-    private void endOverdue() {
+    private void endExpired() {
         for (Request request = deadlines.poll(now); request != null; request = deadlines.poll(now)) {
             if (request.finished || request.answerStarted) {
                 continue;
--- a/core/src/main/java/ledgewall/RoutingPolicy.java
+++ b/core/src/main/java/ledgewall/RoutingPolicy.java
@@ -99,6 +99,8 @@
      * @param probing whether {@link Probe} may be used
      * @param peerMessages whether {@link SendToPeer} may be used
      * @param retryAfterHints whether {@link Refuse} may carry a delay
+     * @param maxRetryAfter the longest such delay
+     * @param connectTimeout how long connecting to a member may take
      */
     record Limits(int maxAttempts, boolean parallelAttempts, boolean cancellation, boolean probing, boolean peerMessages,
                   boolean retryAfterHints, long maxRetryAfter, long connectTimeout, int maxOpen) { }
