--- a/core/src/main/java/ledgewall/ProbeScheduler.java
+++ b/core/src/main/java/ledgewall/ProbeScheduler.java
@@ -17,14 +17,15 @@
     /** Period of probe rounds and probes per round, as in the reference design (see {@link ReplicaRoutingPolicy}). */
     static final long ROUND_PERIOD = 5 * SECOND;
     static final int PROBES_PER_ROUND = 3;
-    /** Minimum gap between urgent probes of one member, in nanoseconds: a few per second, few compared to its reads. */
+    /** The gap between urgent probes of one member, in nanoseconds: up to four per second, few compared to its reads. */
     static final long URGENT_PROBE_GAP = 250 * MS;
     /** Up to this many routers probe all members themselves, as in the reference design; more of them share results. */
     static final int MAX_INDEPENDENT_ROUTERS = 4;
-    /** The longest gap between urgent probes of a member that fails them, and how often the gap may double, plus jitter. */
+    /** The longest gap between urgent probes of a member that fails them, in nanoseconds, before jitter is added. */
     private static final long MAX_URGENT_PROBE_GAP = 2 * SECOND;
+    /** How often that gap may double. */
     private static final int MAX_GAP_DOUBLINGS = 8;
-    /** The time that a member has to tell its role before the next member of its group is probed as well. */
+    /** The nanoseconds that a member has to tell its role before the next member of its group is probed as well. */
     private static final long SEARCH_HEDGE_DELAY = 30 * MS;
     /** How often the gap between search probes of one member doubles. */
     private static final int MAX_SEARCH_GAP_DOUBLINGS = 2;
--- a/core/src/main/java/ledgewall/RoutingPolicy.java
+++ b/core/src/main/java/ledgewall/RoutingPolicy.java
@@ -39,7 +39,7 @@
     /** The members that discard each other's duplicates of a deduplicated request. */
     enum DeduplicationScope { ALL, ZONE, GROUP }
 
-    /** What a member does with a read that requires newer data than it has. */
+    /** What a member does with a read that requires newer data than the member has. */
     enum StaleReadHandling { SERVES, REFUSES, WAITS }
 
     /** When the member list names a group's primary: some seconds after a change, only as of the start, or never. */
--- a/core/src/test/java/ledgewall/ReplicaRoutingPolicyTest.java
+++ b/core/src/test/java/ledgewall/ReplicaRoutingPolicyTest.java
@@ -450,7 +450,8 @@
         harness.now += 200 * MS;
         assertEquals(List.of("p"), sendTargets(harness.sendRequest(WRITE)));
         harness.endAttempt(5, 0, "p", Result.OK, Role.PRIMARY); // a later write is answered
-        List<Action> actions = new ArrayList<>(harness.advance(600 * MS)); // in flight for over two latency targets: 1 to 4
+        // Afterwards, the first four writes are in flight for over two latency targets.
+        List<Action> actions = new ArrayList<>(harness.advance(600 * MS));
         for (int i = 0; i < 200; i++) {
             harness.sendRequest(WRITE);
             actions.addAll(harness.advance(10 * MS));
