--- a/core/src/main/java/ledgewall/RoutingPolicy.java
+++ b/core/src/main/java/ledgewall/RoutingPolicy.java
@@ -80,7 +80,7 @@
      * @param latencyTarget the time after which an answer counts as late
      * @param timeout the time after which an answer has no value
      * @param value the relative value of an answer within the latency target
-     * @param lateValue the part of {@code value} that a late answer keeps
+     * @param lateValue the relative value of a late answer, 0 if it has none
      * @param streamed whether answers are streamed
      */
     record RequestClass(Consistency consistency, long stalenessBound, RetrySafety retrySafety,
