--- a/cli/src/main/java/ledgewall/cli/RuleClassifier.java
+++ b/cli/src/main/java/ledgewall/cli/RuleClassifier.java
@@ -29,7 +29,7 @@
         this.attributes = new Attributes(rules.table().schema());
         for (int i = 0; i < config.vocabulary().classes().size(); i++) {
             RequestClass kind = config.settings().classes().get(i);
-            deadlines.put(config.vocabulary().classes().get(i), Math.max(1, kind.deadline() / MILLISECOND));
+            deadlines.put(config.vocabulary().classes().get(i), Math.max(1, kind.timeout() / MILLISECOND));
         }
         for (int i = 0; i < rules.table().size(); i++) {
             Rule rule = rules.table().rule(i);
--- a/router/src/main/java/ledgewall/discovery/ListParser.java
+++ b/router/src/main/java/ledgewall/discovery/ListParser.java
@@ -27,7 +27,7 @@
     /** Reads a list that has been read as an object already. */
     public static ListUpdate read(Fields fields) {
         if (!fields.has("members")) {
-            throw new FormatException(fields.where() + ": lacks 'members'");
+            throw new FormatException(fields.location() + ": lacks 'members'");
         }
         List<Member> members = fields.objects("members").stream().map(ListParser::member).toList();
         return new ListUpdate(fields.integer("revision"), fields.flag("complete", false), members);
@@ -45,7 +45,7 @@
             case "Ready" -> Member.Phase.READY;
             case "Terminating" -> Member.Phase.TERMINATING;
             case "Gone" -> Member.Phase.GONE;
-            default -> throw new FormatException(entry.where() + ": unknown phase '" + word + "'");
+            default -> throw new FormatException(entry.location() + ": unknown phase '" + word + "'");
         };
     }
 }
--- a/router/src/main/java/ledgewall/net/AttemptOutcome.java
+++ b/router/src/main/java/ledgewall/net/AttemptOutcome.java
@@ -7,9 +7,9 @@
 enum AttemptOutcome {
     SERVED(Result.OK),
     /** 25006: a write, and the member is no primary. */
-    NOT_PRIMARY(Result.MISSED),
+    NOT_PRIMARY(Result.MISDIRECTED),
     /** 72000: the member's data is too old for the read. */
-    TOO_FAR_BEHIND(Result.MISSED),
+    TOO_FAR_BEHIND(Result.MISDIRECTED),
     /** 08P01 or a syntax error: the statement itself is wrong, which its client is told; the member did as it should. */
     BAD_STATEMENT(Result.ERROR),
     /** XX000, or a code that the protocol does not name: it may have run. */
--- a/router/src/main/java/ledgewall/net/Discovery.java
+++ b/router/src/main/java/ledgewall/net/Discovery.java
@@ -40,7 +40,7 @@
         this.wiring = wiring;
         this.members = members;
         this.address = config.discovery();
-        this.follower = new MemberListWatcher(address, config.known(), config.settings().askForList(), pace,
+        this.follower = new MemberListWatcher(address, config.known(), config.settings().subscribesToList(), pace,
             config.seed());
     }
 
@@ -96,7 +96,7 @@
             LOG.info("revision {} came by a check before the watch told of it", update.revision());
         }
         LOG.debug("list {} from {} for {}", update.revision(), from.target(), from.purpose());
-        members.learn(update, update.complete() ? ListKind.FULL : ListKind.CHANGES);
+        members.learn(update, update.complete() ? ListKind.FULL : ListKind.DELTA);
     }
 
     private void setTimer() {
--- a/router/src/main/java/ledgewall/net/Peers.java
+++ b/router/src/main/java/ledgewall/net/Peers.java
@@ -50,9 +50,9 @@
     }
 
     /** Sends to one router by its number, or to all. */
-    void tell(RoutingPolicy.Tell tell) {
-        InetSocketAddress to = tell.router() == RoutingPolicy.NONE ? everyone
-            : tell.router() >= 0 && tell.router() < peers.size() ? peers.get((int) tell.router()) : null;
+    void tell(RoutingPolicy.SendToPeer tell) {
+        InetSocketAddress to = tell.peer() == RoutingPolicy.NONE ? everyone
+            : tell.peer() >= 0 && tell.peer() < peers.size() ? peers.get((int) tell.peer()) : null;
         if (socket == null || to == null || tell.content().length > LONGEST) {
             wiring.counters().add(Counters.Count.BAD_PEER_MESSAGES);
             return;
--- a/router/src/main/java/ledgewall/net/RequestDispatcher.java
+++ b/router/src/main/java/ledgewall/net/RequestDispatcher.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import ledgewall.RoutingPolicy;
-import ledgewall.RoutingPolicy.Need;
+import ledgewall.RoutingPolicy.Consistency;
 import ledgewall.pg.MessageWriter;
 import ledgewall.pg.Reply;
 import ledgewall.pg.SqlState;
@@ -238,10 +238,10 @@
 
     private RoutingPolicy.Arrival arrival(ClientRequest request, int index) {
         Statement statement = request.statement();
-        Need need = settings.classes().get(index).need();
-        boolean sessions = need == Need.WRITE || need == Need.SESSION;
+        Consistency need = settings.classes().get(index).consistency();
+        boolean sessions = need == Consistency.WRITE || need == Consistency.SESSION;
         long writtenAt = Clock.ofUnixMillis(statement.writtenAtMillis());
-        boolean token = need == Need.SESSION && settings.data().tokensCarried() && writtenAt != 0;
+        boolean token = need == Consistency.SESSION && settings.replication().requestsCarryTokens() && writtenAt != 0;
         long now = wiring.loop().now();
         return new RoutingPolicy.Arrival(
             request.number(), index, tenant(statement.tenant()),
@@ -259,7 +259,7 @@
         if (request.answer(failure("no answer in time"))) {
             wiring.counters().add(Counters.Count.OVERDUE);
             log(request, "overdue");
-            wiring.loop().tell(new RoutingPolicy.Lapsed(request.number()));
+            wiring.loop().tell(new RoutingPolicy.Abandoned(request.number()));
             forgetIfOver(request);
         }
     }
@@ -275,7 +275,7 @@
         }
         wiring.counters().add(Counters.Count.LAPSED);
         log(request, "client_gone");
-        wiring.loop().tell(new RoutingPolicy.Lapsed(request.number()));
+        wiring.loop().tell(new RoutingPolicy.Abandoned(request.number()));
         forgetIfOver(request);
     }
 
@@ -290,10 +290,10 @@
         long left = request.deadline() - now;
         long timeout = send.timeout() == 0 ? left : Math.min(send.timeout(), left);
         int index = classes.getOrDefault(request.statement().className(), 0);
-        boolean repeatable = settings.classes().get(index).effect() == RoutingPolicy.Effect.IDEMPOTENT;
+        boolean repeatable = settings.classes().get(index).retrySafety() == RoutingPolicy.RetrySafety.IDEMPOTENT;
         Attempt attempt = new Attempt(request, send.member(), now, timeout, repeatable, this);
         HostPool host = members.host(send.member());
-        boolean second = request.hasOpenAttempt() && !settings.limits().parallelTries();
+        boolean second = request.hasOpenAttempt() && !settings.limits().parallelAttempts();
         request.attempts().add(attempt);
         wiring.counters().add(Counters.Count.ATTEMPTS);
         if (request.isOver() || timeout <= 0 || second || host == null
--- a/router/src/main/java/ledgewall/net/Router.java
+++ b/router/src/main/java/ledgewall/net/Router.java
@@ -44,7 +44,7 @@
         Descriptors descriptors = new Descriptors(config.sockets());
         this.transport = new Transport(clock, loop, counters, descriptors.forAccepting());
         this.wiring = new Wiring(clock, loop, transport, descriptors, counters, new BufferedBytes(),
-            new IdleConnections(counters, descriptors.forIdleHosts(), config.transport().connIdle()),
+            new IdleConnections(counters, descriptors.forIdleHosts(), config.transport().idleTimeout()),
             config.transport().connectTimeout());
         this.members = new Members(wiring, config.vocabulary());
         this.desk = new RequestDispatcher(wiring, config, members, classifier);
@@ -78,13 +78,13 @@
     }
 
     private void open() throws IOException {
-        if (config.settings().limits().peers() && config.peerListen() != null) {
+        if (config.settings().limits().peerMessages() && config.peerListen() != null) {
             peers.open();
         }
         Members.check(config.known());
         CompletableFuture<Void> ready = new CompletableFuture<>();
         loop.post(() -> {
-            members.learn(config.known(), ListKind.REMEMBERED);
+            members.learn(config.known(), ListKind.CACHED);
             discovery.start();
             sweep();
             loop.post(() -> ready.complete(null)); // the turn after the one that decides on the known list
@@ -94,7 +94,7 @@
         ready.join();
         transport.listen(config.listen(), () -> new ClientConnection(wiring, desk));
         LOG.info("{} listens on {}, {} members known, {} descriptors at most, router {} of {}", config.name(), listening(),
-            config.known().members().size(), config.sockets(), config.settings().rank(), config.settings().routers());
+            config.known().members().size(), config.sockets(), config.settings().rank(), config.settings().routerCount());
     }
 
     /** Where clients connect. */
@@ -134,7 +134,7 @@
         } else if (action instanceof RoutingPolicy.Probe probe) {
             probe(probe.member());
         } else if (action instanceof RoutingPolicy.SetTimer timer) {
-            loop.at(timer.at(), () -> loop.tell(new RoutingPolicy.TimerDue(timer.handle())));
+            loop.at(timer.at(), () -> loop.tell(new RoutingPolicy.TimerFired(timer.handle())));
         } else if (action instanceof RoutingPolicy.Subscribe) {
             discovery.subscribe();
         } else if (action instanceof RoutingPolicy.FetchList) {
@@ -143,9 +143,9 @@
             disconnect(disconnect.member());
         } else if (action instanceof RoutingPolicy.Forget forget) {
             members.forget(forget.member());
-        } else if (action instanceof RoutingPolicy.Tell tell) {
+        } else if (action instanceof RoutingPolicy.SendToPeer tell) {
             peers.tell(tell);
-        } else if (action instanceof RoutingPolicy.Note note) {
+        } else if (action instanceof RoutingPolicy.LogMessage note) {
             LOG.info("policy: {}", note.text());
         } else {
             throw new IllegalStateException("nothing carries out " + action);
@@ -207,7 +207,7 @@
             }
             draining = true;
             LOG.info("{} drains", config.name());
-            long longest = config.transport().longestDeadline();
+            long longest = config.transport().longestTimeout();
             long last = (longest > 0 ? Math.min(longest, LONGEST_STOP) : LONGEST_STOP) + BEFORE_THE_END;
             loop.in(STILL_ACCEPTED, this::stopAccepting);
             loop.in(Math.max(STILL_ACCEPTED, (long) (last * SERVED_ON)), this::closeClients);
--- a/router/src/main/java/ledgewall/net/RouterConfig.java
+++ b/router/src/main/java/ledgewall/net/RouterConfig.java
@@ -45,13 +45,13 @@
 
     private static RouterConfig of(Fields fields) {
         if (!fields.has("settings")) {
-            throw new FormatException(fields.where() + ": lacks 'settings'");
+            throw new FormatException(fields.location() + ": lacks 'settings'");
         }
         Fields settings = fields.object("settings");
         ListUpdate known = fields.has("known") ? ListParser.read(fields.object("known"))
             : new ListUpdate(0, true, List.of());
         List<InetSocketAddress> peers = fields.elements("peers").stream()
-            .map(peer -> address(fields.where(), "peers", peer.toString())).toList();
+            .map(peer -> address(fields.location(), "peers", peer.toString())).toList();
         checkFleet(settings, peers.size());
         atLeast(1, fields.object("limits"), "sockets", DEFAULT_SOCKETS);
         Fields ceilings = settings.object("ceilings");
@@ -71,20 +71,20 @@
         long routers = settings.integer("peersTotal");
         long rank = settings.integer("rank");
         if (routers < 1 || routers > Integer.MAX_VALUE) {
-            throw new FormatException(settings.where() + ": 'peersTotal' has to be 1 or more, not " + routers);
+            throw new FormatException(settings.location() + ": 'peersTotal' has to be 1 or more, not " + routers);
         }
         if (rank < 0 || rank >= routers) {
-            throw new FormatException(settings.where() + ": 'rank' has to be from 0 to " + (routers - 1) + ", not " + rank);
+            throw new FormatException(settings.location() + ": 'rank' has to be from 0 to " + (routers - 1) + ", not " + rank);
         }
         if (peers > 0 && peers != routers) {
-            throw new FormatException(settings.where() + ": 'peersTotal' is " + routers + ", but 'peers' names " + peers);
+            throw new FormatException(settings.location() + ": 'peersTotal' is " + routers + ", but 'peers' names " + peers);
         }
     }
 
     private static void atLeast(long least, Fields fields, String name, long otherwise) {
         long value = fields.integer(name, otherwise);
         if (value < least) {
-            throw new FormatException(fields.where() + ": '" + name + "' has to be " + least + " or more, not " + value);
+            throw new FormatException(fields.location() + ": '" + name + "' has to be " + least + " or more, not " + value);
         }
     }
 
@@ -99,16 +99,16 @@
         try {
             return Long.parseUnsignedLong(text, HEX);
         } catch (NumberFormatException e) {
-            throw new FormatException(fields.where() + ": 'seed' is no hexadecimal number");
+            throw new FormatException(fields.location() + ": 'seed' is no hexadecimal number");
         }
     }
 
     private static InetSocketAddress required(Fields fields, String name) {
-        return address(fields.where(), name, fields.text(name));
+        return address(fields.location(), name, fields.text(name));
     }
 
     private static InetSocketAddress optional(Fields fields, String name) {
-        return fields.has(name) ? address(fields.where(), name, fields.text(name)) : null;
+        return fields.has(name) ? address(fields.location(), name, fields.text(name)) : null;
     }
 
     /** An address and port as text; names are not looked up. */
--- a/router/src/main/java/ledgewall/net/WarmUp.java
+++ b/router/src/main/java/ledgewall/net/WarmUp.java
@@ -45,7 +45,7 @@
     public static long run(RouterConfig config, RoutingPolicy.Factory factory) {
         WarmUp rehearsal = new WarmUp(config, factory.create(config.settings(), config.seed()));
         // Many routers that start at once, as after a release, are missed at once: each rehearses its share.
-        double share = Math.min(1, HANDFUL / config.settings().routers());
+        double share = Math.min(1, HANDFUL / config.settings().routerCount());
         long end = System.nanoTime() + (long) (share * LONGEST);
         long served = 0;
         try {
@@ -84,7 +84,7 @@
                 next.add(new RoutingPolicy.ProbeResult(probe.member(), RoutingPolicy.Result.OK, TURN,
                     HostReports.report("x0=" + now / 1e9 + ",x1=" + (probe.member().endsWith("-0") ? 1 : 0), now)));
             } else if (action instanceof RoutingPolicy.SetTimer timer) {
-                next.add(new RoutingPolicy.TimerDue(timer.handle()));
+                next.add(new RoutingPolicy.TimerFired(timer.handle()));
             }
         }
         now += TURN;
@@ -93,7 +93,7 @@
 
     private void arrive(int index) throws ProtocolException {
         RoutingPolicy.RequestClass kind = config.settings().classes().get(index);
-        long wait = Clock.toMillis(kind.deadline());
+        long wait = Clock.toMillis(kind.timeout());
         byte[] query = MessageWriter.query("/* id=" + Long.toHexString(now + requests) + ",c="
             + config.vocabulary().classes().get(index) + ",t=rehearsal,d=" + wait + ",cluster=0 */ "
             + "INSERT INTO facts (code, data) VALUES ('" + Long.toHexString(requests) + "', '\\x00') RETURNING data");
@@ -103,7 +103,7 @@
         reader.feed(ByteBuffer.wrap(query), frames::add);
         Statement statement = ((ClientMessage.Query) ClientMessage.of(frames.get(0))).statement();
         statement.withWait(wait);
-        next.add(new RoutingPolicy.Arrival(++requests, index, 0, 0, statement.sessionKey(), kind.deadline(),
+        next.add(new RoutingPolicy.Arrival(++requests, index, 0, 0, statement.sessionKey(), kind.timeout(),
             RoutingPolicy.NONE, statement.retry()));
     }
 
--- a/router/src/main/java/ledgewall/simhost/Codec.java
+++ b/router/src/main/java/ledgewall/simhost/Codec.java
@@ -39,11 +39,11 @@
     static RoutingPolicy.ListKind listKind(Fields message) {
         String word = message.text("kind");
         return switch (word) {
-            case "delta" -> RoutingPolicy.ListKind.CHANGES;
+            case "delta" -> RoutingPolicy.ListKind.DELTA;
             case "full" -> RoutingPolicy.ListKind.FULL;
-            case "cached" -> RoutingPolicy.ListKind.REMEMBERED;
+            case "cached" -> RoutingPolicy.ListKind.CACHED;
             case "failed" -> RoutingPolicy.ListKind.FAILED;
-            default -> throw new FormatException(message.where() + ": unknown list kind '" + word + "'");
+            default -> throw new FormatException(message.location() + ": unknown list kind '" + word + "'");
         };
     }
 
@@ -56,14 +56,14 @@
                 message.integer("graceNs"), millis(message.decimal("wroteMsAgo", 0)),
                 message.flag("isRetry", false));
             case "verdict" -> outcome(message, origin);
-            case "headers" -> new RoutingPolicy.AnswerBegun(
+            case "headers" -> new RoutingPolicy.AnswerStarted(
                 message.integer("ticket"), (int) message.integer("leg"), message.text("host"));
-            case "lapsed" -> new RoutingPolicy.Lapsed(message.integer("ticket"));
+            case "lapsed" -> new RoutingPolicy.Abandoned(message.integer("ticket"));
             case "echo" -> new RoutingPolicy.ProbeResult(
                 message.text("host"), result(message), message.integer("elapsedNs", 0), report(message, origin));
             case "message" -> new RoutingPolicy.PeerMessage(
                 (int) message.integer("author"), bytes(message));
-            case "tickDue" -> new RoutingPolicy.TimerDue(message.integer("handle"));
+            case "tickDue" -> new RoutingPolicy.TimerFired(message.integer("handle"));
             default -> null;
         };
     }
@@ -99,8 +99,8 @@
             case "RST" -> RoutingPolicy.Result.RESET;
             case "CXL" -> RoutingPolicy.Result.CANCELLED;
             case "NOP" -> RoutingPolicy.Result.NEVER_SENT;
-            case "MISS" -> RoutingPolicy.Result.MISSED;
-            default -> throw new FormatException(message.where() + ": unknown result '" + word + "'");
+            case "MISS" -> RoutingPolicy.Result.MISDIRECTED;
+            default -> throw new FormatException(message.location() + ": unknown result '" + word + "'");
         };
     }
 
@@ -123,7 +123,7 @@
         try {
             return Base64.getDecoder().decode(message.text("octets", ""));
         } catch (IllegalArgumentException e) {
-            throw new FormatException(message.where() + ": 'octets' is no base64");
+            throw new FormatException(message.location() + ": 'octets' is no base64");
         }
     }
 
@@ -160,15 +160,15 @@
         } else if (action instanceof RoutingPolicy.Disconnect disconnect) {
             head(out, "dropConns", instance);
             out.writeStringField("host", disconnect.member());
-        } else if (action instanceof RoutingPolicy.Tell tell) {
+        } else if (action instanceof RoutingPolicy.SendToPeer tell) {
             head(out, "notify", instance);
-            if (tell.router() == RoutingPolicy.NONE) {
+            if (tell.peer() == RoutingPolicy.NONE) {
                 out.writeStringField("whom", "*");
             } else {
-                out.writeNumberField("whom", tell.router());
+                out.writeNumberField("whom", tell.peer());
             }
             out.writeStringField("octets", Base64.getEncoder().encodeToString(tell.content()));
-        } else if (action instanceof RoutingPolicy.Note note) {
+        } else if (action instanceof RoutingPolicy.LogMessage note) {
             head(out, "trace", instance);
             out.writeStringField("line", note.text());
         } else {
--- a/router/src/main/java/ledgewall/simhost/SimHost.java
+++ b/router/src/main/java/ledgewall/simhost/SimHost.java
@@ -121,7 +121,7 @@
             case "begin" -> {
                 int who = (int) message.integer("who");
                 if (!message.has("info")) {
-                    throw new FormatException(message.where() + ": lacks 'info'");
+                    throw new FormatException(message.location() + ": lacks 'info'");
                 }
                 Fields info = message.object("info");
                 RoutingPolicy policy = factory.create(SettingsReader.settings(info), message.integer("salt"));
@@ -160,7 +160,7 @@
         }
         List<RoutingPolicy.Listing> listings = lists.get(message.integer("rosterId"));
         if (listings == null) {
-            throw new FormatException(message.where() + ": 'rosterId' names a list never defined");
+            throw new FormatException(message.location() + ": 'rosterId' names a list never defined");
         }
         return new RoutingPolicy.MemberList(kind, listings);
     }
--- a/router/src/test/java/ledgewall/net/ClientsTest.java
+++ b/router/src/test/java/ledgewall/net/ClientsTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import ledgewall.RoutingPolicy;
 import ledgewall.RoutingPolicy.Arrival;
-import ledgewall.RoutingPolicy.Lapsed;
+import ledgewall.RoutingPolicy.Abandoned;
 import ledgewall.RoutingPolicy.Outcome;
 import ledgewall.standin.Client;
 import ledgewall.standin.Message;
@@ -86,7 +86,7 @@
         assertEquals(List.of(1, 1, 9L, true),
             List.of(put.requestClass(), put.tenant(), put.group(), put.retry()));
         assertTrue(put.session() > 0);
-        assertEquals(RoutingPolicy.NONE, put.sinceWrite());
+        assertEquals(RoutingPolicy.NONE, put.timeSinceWrite());
         assertTrue(put.timeLeft() > 50_000 * RouterHarness.MS && put.timeLeft() <= 60_000 * RouterHarness.MS);
         client.send(Wire.query(RouterHarness.sql("id=b,c=look,t=other,d=60000,cluster=2")));
         Arrival look = policy.next(Arrival.class);
@@ -97,8 +97,8 @@
         Arrival own = policy.next(Arrival.class);
         assertEquals(put.session(), own.session());
         assertEquals(2, own.tenant());
-        assertTrue(own.sinceWrite() >= 4_999 * RouterHarness.MS && own.sinceWrite() < 60_000 * RouterHarness.MS,
-            "" + own.sinceWrite());
+        assertTrue(own.timeSinceWrite() >= 4_999 * RouterHarness.MS && own.timeSinceWrite() < 60_000 * RouterHarness.MS,
+            "" + own.timeSinceWrite());
     }
 
     @Test
@@ -156,7 +156,7 @@
         rig.client().send(Wire.query(RouterHarness.sql("id=1,c=own,d=999999999999999,cluster=2,after=999999999999999")));
         Arrival arrival = policy.next(Arrival.class);
         assertTrue(arrival.timeLeft() > 0 && arrival.timeLeft() <= 86_400_000L * RouterHarness.MS, "" + arrival.timeLeft());
-        assertEquals(RoutingPolicy.NONE, arrival.sinceWrite());
+        assertEquals(RoutingPolicy.NONE, arrival.timeSinceWrite());
     }
 
     @Test
@@ -166,7 +166,7 @@
         Client client = rig.client();
         client.send(Wire.query(RouterHarness.sql("id=1,c=look,d=20,cluster=2")));
         assertEquals("08006", client.untilReady().get(0).field('C'));
-        assertEquals(policy.next(Arrival.class).request(), policy.next(Lapsed.class).request());
+        assertEquals(policy.next(Arrival.class).request(), policy.next(Abandoned.class).request());
         assertEquals(1, rig.router().counts().of(Counters.Count.OVERDUE));
     }
 
@@ -262,7 +262,7 @@
         assertEquals("08006", client.untilReady().get(0).field('C'));
         assertEquals("08P01", client.read().field('C'));
         assertTrue(client.atEnd());
-        assertEquals(policy.next(Arrival.class).request(), policy.next(Lapsed.class).request());
+        assertEquals(policy.next(Arrival.class).request(), policy.next(Abandoned.class).request());
     }
 
     @Test
@@ -362,7 +362,7 @@
         first.send(RouterHarness.look("1"));
         policy.next(Arrival.class);
         first.close();
-        policy.next(Lapsed.class);
+        policy.next(Abandoned.class);
         rig.client().send(RouterHarness.look("1"));
         assertEquals(2, policy.next(Arrival.class).request());
     }
@@ -532,7 +532,7 @@
         } catch (java.net.SocketException e) {
             // cut off while it wrote
         }
-        policy.next(Lapsed.class);
+        policy.next(Abandoned.class);
         assertTrue(rig.router().counts().of(Counters.Count.CUT_OFF) >= 1);
         small.send(Wire.query(""));
         policy.command(new RoutingPolicy.Fail(1));
--- a/router/src/test/java/ledgewall/net/FollowTest.java
+++ b/router/src/test/java/ledgewall/net/FollowTest.java
@@ -47,7 +47,7 @@
             scripts[Math.min(connection.number(), scripts.length) - 1].play(connection);
         });
         rig.start(policy);
-        assertEquals(ListKind.REMEMBERED, policy.next(MemberList.class).kind());
+        assertEquals(ListKind.CACHED, policy.next(MemberList.class).kind());
     }
 
     /** Reads a request's head; its target. */
@@ -91,11 +91,11 @@
                 RouterHarness.entry("n", ADDRESS, "Ready", 1_767_225_600_123L))));
         assertEquals("/catalog/members?follow=1&since=41", askedNext());
         MemberList first = policy.next(MemberList.class);
-        assertEquals(ListKind.CHANGES, first.kind());
+        assertEquals(ListKind.DELTA, first.kind());
         assertEquals(new Listing("m", 2, 1, 0, Phase.DRAINING, 1, false, 0), first.listings().get(0));
         MemberList second = policy.next(MemberList.class);
         assertEquals(Phase.GONE, second.listings().get(0).phase());
-        assertEquals(1_767_225_600_123_000_000L, second.listings().get(1).born());
+        assertEquals(1_767_225_600_123_000_000L, second.listings().get(1).startedAt());
     }
 
     @Test
@@ -166,7 +166,7 @@
     void aWholeListMayTakeTheRevisionBack() throws IOException, InterruptedException {
         start(connection -> watch(connection, list(3, true, ready("n")), list(4, false, ready("o"))));
         assertEquals(ListKind.FULL, policy.next(MemberList.class).kind());
-        assertEquals(ListKind.CHANGES, policy.next(MemberList.class).kind());
+        assertEquals(ListKind.DELTA, policy.next(MemberList.class).kind());
     }
 
     @Test
@@ -200,7 +200,7 @@
         start(StandInServer.Connection::awaitEnd, connection -> watch(connection, list(42, false, ready("n"))));
         askedNext();
         assertEquals("/catalog/members?follow=1&since=41", askedNext());
-        assertEquals(ListKind.CHANGES, policy.next(MemberList.class).kind());
+        assertEquals(ListKind.DELTA, policy.next(MemberList.class).kind());
     }
 
     /** The watch lives and tells nothing; a change that it hides comes with the next check, from the revision known. */
@@ -236,7 +236,7 @@
         policy.command(new RoutingPolicy.Subscribe());
         assertEquals(ListKind.FAILED, policy.next(MemberList.class).kind());
         policy.command(new RoutingPolicy.Subscribe());
-        assertEquals(ListKind.CHANGES, policy.next(MemberList.class).kind());
+        assertEquals(ListKind.DELTA, policy.next(MemberList.class).kind());
         policy.command(new RoutingPolicy.FetchList());
         MemberList failed = policy.next(MemberList.class);
         assertEquals(ListKind.FAILED, failed.kind());
--- a/router/src/test/java/ledgewall/net/OutcomesTest.java
+++ b/router/src/test/java/ledgewall/net/OutcomesTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import ledgewall.RoutingPolicy;
 import ledgewall.RoutingPolicy.Arrival;
-import ledgewall.RoutingPolicy.Lapsed;
+import ledgewall.RoutingPolicy.Abandoned;
 import ledgewall.RoutingPolicy.Outcome;
 import ledgewall.RoutingPolicy.Result;
 import ledgewall.RoutingPolicy.Role;
@@ -83,7 +83,7 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"25006,MISSED", "72000,MISSED", "XX000,ERROR", "53300,REJECTED", "42P01,ERROR", "57P03,ERROR"})
+    @CsvSource({"25006,MISDIRECTED", "72000,MISDIRECTED", "XX000,ERROR", "53300,REJECTED", "42P01,ERROR", "57P03,ERROR"})
     void anErrorsCodeSaysHowItEnded(String code, Result result) throws IOException, InterruptedException {
         Outcome outcome = outcomeOfAnswer(Wire.error(code), Wire.set("mode", "read-only"), Wire.ready());
         assertEquals(result, outcome.result());
@@ -404,7 +404,7 @@
         client.send(RouterHarness.look("1"));
         assertTrue(asked.await(20, TimeUnit.SECONDS));
         client.close();
-        assertEquals(policy.next(Lapsed.class).request(), 1);
+        assertEquals(policy.next(Abandoned.class).request(), 1);
         release.countDown();
         Outcome outcome = policy.next(Outcome.class);
         assertTrue(outcome.complete());
--- a/router/src/test/java/ledgewall/net/PartsTest.java
+++ b/router/src/test/java/ledgewall/net/PartsTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import ledgewall.RoutingPolicy;
 import ledgewall.RoutingPolicy.Event;
-import ledgewall.RoutingPolicy.Lapsed;
+import ledgewall.RoutingPolicy.Abandoned;
 import ledgewall.RoutingPolicy.Result;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -40,7 +40,7 @@
 
     @Test
     void onlyWhatSurelyNeverRanEndsAsThat() {
-        List<Result> neverRan = List.of(Result.NOT_CONNECTED, Result.REJECTED, Result.MISSED, Result.NEVER_SENT);
+        List<Result> neverRan = List.of(Result.NOT_CONNECTED, Result.REJECTED, Result.MISDIRECTED, Result.NEVER_SENT);
         List<AttemptOutcome> mayHaveRun = List.of(AttemptOutcome.SERVED, AttemptOutcome.BAD_STATEMENT, AttemptOutcome.HOST_ERROR,
             AttemptOutcome.BROKEN_AFTER_WRITTEN, AttemptOutcome.GARBLED,
             AttemptOutcome.TIMED_OUT, AttemptOutcome.GIVEN_UP);
@@ -98,8 +98,8 @@
             done.countDown();
             return List.of();
         }, action -> { });
-        loop.catchUpBy(() -> loop.post(() -> loop.tell(new Lapsed(1))));
-        loop.in(RouterHarness.MS, () -> loop.tell(new RoutingPolicy.TimerDue(7)));
+        loop.catchUpBy(() -> loop.post(() -> loop.tell(new Abandoned(1))));
+        loop.in(RouterHarness.MS, () -> loop.tell(new RoutingPolicy.TimerFired(7)));
         time.set(500 * RouterHarness.MS);
         Thread thread = new Thread(loop);
         thread.start();
@@ -107,7 +107,7 @@
         loop.stop();
         loop.post(() -> { });
         thread.join();
-        assertEquals(List.of(List.of(new Lapsed(1), new RoutingPolicy.TimerDue(7))), batches);
+        assertEquals(List.of(List.of(new Abandoned(1), new RoutingPolicy.TimerFired(7))), batches);
         assertEquals(1, counters.of(Counters.Count.LATE_BATCHES));
     }
 
@@ -123,14 +123,14 @@
             batches.add(events);
             return List.of();
         }, action -> { });
-        EventLoop.Timer cancelled = loop.in(1, () -> loop.tell(new Lapsed(99)));
-        loop.in(1, () -> loop.tell(new RoutingPolicy.TimerDue(7)));
+        EventLoop.Timer cancelled = loop.in(1, () -> loop.tell(new Abandoned(99)));
+        loop.in(1, () -> loop.tell(new RoutingPolicy.TimerFired(7)));
         cancelled.cancel();
-        loop.post(() -> loop.tell(new Lapsed(1)));
+        loop.post(() -> loop.tell(new Abandoned(1)));
         loop.post(() -> {
             throw new IllegalStateException("one task's fault");
         });
-        loop.post(() -> loop.tell(new Lapsed(2)));
+        loop.post(() -> loop.tell(new Abandoned(2)));
         loop.post(() -> loop.in(RouterHarness.MS, done::countDown));
         Thread thread = new Thread(loop);
         thread.start();
@@ -138,7 +138,7 @@
         loop.stop();
         loop.post(() -> { });
         thread.join();
-        assertEquals(List.of(List.of(new Lapsed(1), new Lapsed(2), new RoutingPolicy.TimerDue(7))), batches);
+        assertEquals(List.of(List.of(new Abandoned(1), new Abandoned(2), new RoutingPolicy.TimerFired(7))), batches);
         assertEquals(1, counters.of(Counters.Count.BATCHES));
     }
 
--- a/router/src/test/java/ledgewall/net/PeersTest.java
+++ b/router/src/test/java/ledgewall/net/PeersTest.java
@@ -47,8 +47,8 @@
         try (DatagramSocket one = socket(); DatagramSocket everyone = socket(); DatagramSocket stranger = socket()) {
             rig.peers("\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:1\",\"" + address(one)
                 + "\"],\"peers_all\":\"" + address(everyone) + "\",").start(policy);
-            policy.command(new RoutingPolicy.Tell(1, new byte[] {1, 2}), new RoutingPolicy.Tell(7, new byte[1]),
-                new RoutingPolicy.Tell(1, new byte[257]), new RoutingPolicy.Tell(RoutingPolicy.NONE, new byte[] {3}));
+            policy.command(new RoutingPolicy.SendToPeer(1, new byte[] {1, 2}), new RoutingPolicy.SendToPeer(7, new byte[1]),
+                new RoutingPolicy.SendToPeer(1, new byte[257]), new RoutingPolicy.SendToPeer(RoutingPolicy.NONE, new byte[] {3}));
             assertArrayEquals(new byte[] {1, 2}, receive(one));
             assertArrayEquals(new byte[] {3}, receive(everyone));
             var router = rig.router().peersListening();
--- a/router/src/test/java/ledgewall/net/ProbesTest.java
+++ b/router/src/test/java/ledgewall/net/ProbesTest.java
@@ -97,7 +97,7 @@
         rig.client().send(RouterHarness.look("1"));
         sends.next(RoutingPolicy.Outcome.class);
         sends.command(new RoutingPolicy.Disconnect("m"), new RoutingPolicy.Disconnect("unknown"),
-            new RoutingPolicy.Probe("unknown"), new RoutingPolicy.Note("noted"), new RoutingPolicy.Probe("m"));
+            new RoutingPolicy.Probe("unknown"), new RoutingPolicy.LogMessage("noted"), new RoutingPolicy.Probe("m"));
         sends.next(ProbeResult.class);
         rig.client().send(RouterHarness.look("2"));
         sends.next(RoutingPolicy.Outcome.class);
--- a/router/src/test/java/ledgewall/net/StartTest.java
+++ b/router/src/test/java/ledgewall/net/StartTest.java
@@ -45,7 +45,7 @@
         assertEquals(41, config.known().revision());
         assertEquals(3, config.settings().classes().size());
         assertEquals(10_000 * RouterHarness.MS, config.transport().connectTimeout());
-        assertEquals(900 * RouterHarness.MS, config.transport().longestDeadline());
+        assertEquals(900 * RouterHarness.MS, config.transport().longestTimeout());
         assertTrue(config.transport().reports());
     }
 
--- a/router/src/test/java/ledgewall/simhost/SimHostTest.java
+++ b/router/src/test/java/ledgewall/simhost/SimHostTest.java
@@ -87,7 +87,7 @@
         host.reply(batch("{\"what\":\"verdict\",\"who\":0,\"ticket\":9,\"leg\":1,\"host\":\"x:1\",\"elapsedNs\":5,"
             + "\"complete\":false,\"mark\":10001,\"result\":\"MISS\",\"report\":{\"x0\":1.5,\"x1\":0}}"), "line 2");
         Outcome outcome = (Outcome) recorders.get(0).seen.get(0);
-        assertEquals(Result.MISSED, outcome.result());
+        assertEquals(Result.MISDIRECTED, outcome.result());
         assertEquals(Role.PRIMARY, outcome.role());
         assertEquals(1_000_000_000L + 2_500L * 1_000_000L, outcome.position());
         assertEquals(2_500_000_000L, outcome.report().position());
@@ -111,8 +111,8 @@
         host.reply(batch(begin(0)), "line 1");
         recorders.get(0).answer = List.of(new Send(1, "x:1", 5), new Refuse(2, 6), new Fail(3), new Cancel(4, 1),
             new Probe("x:1"), new SetTimer(9, 8), new Subscribe(), new FetchList(),
-            new Disconnect("x:1"), new Tell(2, new byte[] {104, 105}), new Tell(RoutingPolicy.NONE, new byte[0]),
-            new Note("a \"note\""));
+            new Disconnect("x:1"), new SendToPeer(2, new byte[] {104, 105}), new SendToPeer(RoutingPolicy.NONE, new byte[0]),
+            new LogMessage("a \"note\""));
         assertEquals("{\"do\":["
             + "{\"what\":\"place\",\"who\":0,\"ticket\":1,\"giveUpAfterNs\":5,\"host\":\"x:1\"},"
             + "{\"what\":\"overloadReply\",\"who\":0,\"ticket\":2,\"pauseNs\":6},"
--- a/router/src/test/java/ledgewall/standin/ScriptedPolicy.java
+++ b/router/src/test/java/ledgewall/standin/ScriptedPolicy.java
@@ -37,8 +37,8 @@
         List<Action> actions = new ArrayList<>();
         boolean look = false;
         for (Event event : events) {
-            look |= event instanceof TimerDue || event instanceof MemberList list && list.kind() == ListKind.REMEMBERED;
-            if (!(event instanceof TimerDue)) {
+            look |= event instanceof TimerFired || event instanceof MemberList list && list.kind() == ListKind.CACHED;
+            if (!(event instanceof TimerFired)) {
                 heard.add(event);
                 actions.addAll(script.apply(event));
             }
