--- a/router/src/main/java/ledgewall/pg/ClientMessage.java
+++ b/router/src/main/java/ledgewall/pg/ClientMessage.java
@@ -5,66 +5,67 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a client may say, as far as this router tells it apart. */
+/** A message from a client. Types that this router handles alike share one record. */
 public sealed interface ClientMessage {
+    /** With the next two, the codes that packets without a type byte carry in place of a protocol version. */
     int SSL_REQUEST = 80877103;
     int GSS_REQUEST = 80877104;
     int CANCEL_REQUEST = 80877102;
-    int VERSION_3 = 3;
-    int MOST_PARAMETERS = 32;
+    int PROTOCOL_MAJOR_VERSION = 3;
+    int MAX_PARAMETERS = 32;
 
-    /** Asks for encryption before anything else. */
+    /** Asks to encrypt the connection; sent before the startup message. */
     record EncryptionRequest() implements ClientMessage { }
 
-    /** Asks, on a connection of its own, to cancel what another one runs. */
+    /** Asks to cancel the query that runs on another connection; sent instead of a startup message. */
     record CancelRequest() implements ClientMessage { }
 
-    /** With the parameters that it names, such as user and database. */
-    record Startup(int minor, Map<String, String> parameters) implements ClientMessage { }
+    /** A startup message with its parameters, such as user and database. */
+    record Startup(int minorVersion, Map<String, String> parameters) implements ClientMessage { }
 
     record EmptyQuery() implements ClientMessage { }
 
     record Query(Statement statement) implements ClientMessage { }
 
-    /** A query, or a message of another sub-protocol, that gets an ordinary error. */
-    record Unserved(String sqlState, String reason) implements ClientMessage { }
+    /** A query or function call that is answered with an error; the connection stays usable. */
+    record Rejected(String sqlState, String reason) implements ClientMessage { }
 
-    /** A message of the extended protocol: one error, then all is skipped up to Sync. */
-    record Extended() implements ClientMessage { }
+    /** A message of the extended query protocol: answered with one error, after which all messages up to Sync are skipped. */
+    record ExtendedQuery() implements ClientMessage { }
 
     record Sync() implements ClientMessage { }
 
-    /** A message that needs no answer. */
-    record Passed() implements ClientMessage { }
+    /** A message that is dropped without an answer. */
+    record Ignored() implements ClientMessage { }
 
     record Terminate() implements ClientMessage { }
 
-    /** Where the client's speech stops being protocol: nothing after it can be read. */
-    record Broken(String reason) implements ClientMessage { }
+    /** Marks where the stream violates the protocol; the bytes after it cannot be parsed. */
+    record ProtocolViolation(String reason) implements ClientMessage { }
 
-    static ClientMessage of(Frame frame) throws ProtocolException {
-        return of(frame, false);
+    static ClientMessage parse(Frame frame) throws ProtocolException {
+        return parse(frame, false);
     }
 
     /**
-     * Reads a message.
+     * Parses a message.
      *
-     * @param plain whether statements are taken that do not bring the comment
+     * @param acceptUncommented whether to accept statements without a complete routing comment
      */
-    static ClientMessage of(Frame frame, boolean plain) throws ProtocolException {
+    static ClientMessage parse(Frame frame, boolean acceptUncommented) throws ProtocolException {
         return switch (frame.type()) {
-            case Frame.UNTYPED -> opening(frame);
-            case 'Q' -> query(frame, plain);
+            case Frame.UNTYPED -> untypedPacket(frame);
+            case 'Q' -> query(frame, acceptUncommented);
             case 'X' -> new Terminate();
             case 'S' -> new Sync();
-            case 'P', 'B', 'D', 'E', 'C' -> new Extended();
-            case 'H', 'd', 'c', 'f' -> new Passed(); // Flush, and what may still come of a copy
-            case 'F' -> new Unserved(SqlState.NOT_SUPPORTED, "function calls are not supported");
+            case 'P', 'B', 'D', 'E', 'C' -> new ExtendedQuery();
+            case 'H', 'd', 'c', 'f' -> new Ignored(); // Flush, and what a client may still send of a COPY
+            case 'F' -> new Rejected(SqlState.FEATURE_NOT_SUPPORTED, "function calls are not supported");
             default -> throw new ProtocolException("unknown message type " + (int) frame.type());
         };
     }
 
-    private static ClientMessage opening(Frame frame) throws ProtocolException {
+    private static ClientMessage untypedPacket(Frame frame) throws ProtocolException {
         if (frame.bodyLength() < Integer.BYTES) {
             throw new ProtocolException("a startup message without a version");
         }
@@ -73,7 +74,7 @@
             case SSL_REQUEST, GSS_REQUEST -> new EncryptionRequest();
             case CANCEL_REQUEST -> new CancelRequest();
             default -> {
-                if (code >>> 16 != VERSION_3) {
+                if (code >>> 16 != PROTOCOL_MAJOR_VERSION) {
                     throw new ProtocolException("unsupported protocol " + (code >>> 16) + "." + (code & 0xffff));
                 }
                 yield new Startup(code & 0xffff, parameters(frame));
@@ -81,17 +82,17 @@
         };
     }
 
-    /** Names and values up to an empty name; what is cut off before is none. */
+    /** Names and values up to an empty name; a name without a complete value is ignored. */
     private static Map<String, String> parameters(Frame frame) {
         Map<String, String> parameters = new HashMap<>();
         byte[] bytes = frame.bytes();
         String name = null;
         int start = frame.bodyStart() + Integer.BYTES;
-        for (int at = start; at < bytes.length && parameters.size() < MOST_PARAMETERS; at++) {
-            if (bytes[at] != 0) {
+        for (int index = start; index < bytes.length && parameters.size() < MAX_PARAMETERS; index++) {
+            if (bytes[index] != 0) {
                 continue;
             }
-            String text = new String(bytes, start, at - start, StandardCharsets.UTF_8);
+            String text = new String(bytes, start, index - start, StandardCharsets.UTF_8);
             if (name == null && text.isEmpty()) {
                 break;
             }
@@ -99,12 +100,12 @@
                 parameters.put(name, text);
             }
             name = name == null ? text : null;
-            start = at + 1;
+            start = index + 1;
         }
         return parameters;
     }
 
-    private static ClientMessage query(Frame frame, boolean plain) throws ProtocolException {
+    private static ClientMessage query(Frame frame, boolean acceptUncommented) throws ProtocolException {
         byte[] bytes = frame.bytes();
         if (frame.bodyLength() < 1 || bytes[bytes.length - 1] != 0) {
             throw new ProtocolException("a query without its end");
@@ -113,11 +114,11 @@
             return new EmptyQuery();
         }
         try {
-            Statement statement = plain ? Statement.parseAny(bytes) : Statement.parse(bytes);
-            return plain && statement.summary().needsSession() ? new Unserved(SqlState.NOT_SUPPORTED,
+            Statement statement = acceptUncommented ? Statement.parseWithOptionalComment(bytes) : Statement.parse(bytes);
+            return acceptUncommented && statement.summary().needsSession() ? new Rejected(SqlState.FEATURE_NOT_SUPPORTED,
                 statement.summary().keyword() + " needs a connection of its own to a member") : new Query(statement);
-        } catch (Statement.Malformed e) {
-            return new Unserved(SqlState.SYNTAX_ERROR, e.getMessage());
+        } catch (Statement.MalformedException e) {
+            return new Rejected(SqlState.SYNTAX_ERROR, e.getMessage());
         }
     }
 }
--- a/router/src/main/java/ledgewall/pg/Frame.java
+++ b/router/src/main/java/ledgewall/pg/Frame.java
@@ -3,15 +3,16 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One message as it came, header included, so that it can go on unchanged.
+ * One message as received, header included, so that it can be forwarded unchanged.
  *
- * @param type its type byte, or {@link #UNTYPED} for the packets that open a connection
+ * @param type its type byte, or {@link #UNTYPED} for the packets that a client sends up to its startup message
  */
 public record Frame(char type, byte[] bytes) {
     public static final char UNTYPED = 0;
+    /** Size of the length field, which counts itself but not the type byte. */
     static final int LENGTH_BYTES = 4;
 
-    /** Where the body begins. */
+    /** The index in {@link #bytes} of the body's first byte. */
     public int bodyStart() {
         return type == UNTYPED ? LENGTH_BYTES : LENGTH_BYTES + 1;
     }
@@ -20,27 +21,28 @@
         return bytes.length - bodyStart();
     }
 
-    Body body() {
-        return new Body(bytes, bodyStart());
+    BodyReader body() {
+        return new BodyReader(bytes, bodyStart());
     }
 
-    /** Reads a body from front to back; running off its end is a fault of the sender. */
-    static final class Body {
+    /** Reads the fields of a body in order; a field that reaches beyond the body is a protocol violation. */
+    static final class BodyReader {
         private final byte[] bytes;
-        private int at;
+        private int position;
 
-        Body(byte[] bytes, int at) {
+        BodyReader(byte[] bytes, int position) {
             this.bytes = bytes;
-            this.at = at;
+            this.position = position;
         }
 
-        int left() {
-            return bytes.length - at;
+        /** How many bytes of the body are unread. */
+        int remaining() {
+            return bytes.length - position;
         }
 
         int int8() throws ProtocolException {
-            need(1);
-            return bytes[at++] & 0xff;
+            requireRemaining(1);
+            return bytes[position++] & 0xff;
         }
 
         int int16() throws ProtocolException {
@@ -52,26 +54,27 @@
         }
 
         void skip(int count) throws ProtocolException {
-            need(count);
-            at += count;
+            requireRemaining(count);
+            position += count;
         }
 
-        String string() throws ProtocolException {
-            int start = at;
+        /** A string that a zero byte ends. */
+        String cString() throws ProtocolException {
+            int start = position;
             while (int8() != 0) {
                 continue;
             }
-            return new String(bytes, start, at - 1 - start, StandardCharsets.UTF_8);
+            return new String(bytes, start, position - 1 - start, StandardCharsets.UTF_8);
         }
 
-        String text(int length) throws ProtocolException {
-            need(length);
-            at += length;
-            return new String(bytes, at - length, length, StandardCharsets.UTF_8);
+        String fixedLengthString(int length) throws ProtocolException {
+            requireRemaining(length);
+            position += length;
+            return new String(bytes, position - length, length, StandardCharsets.UTF_8);
         }
 
-        private void need(int count) throws ProtocolException {
-            if (count < 0 || left() < count) {
+        private void requireRemaining(int count) throws ProtocolException {
+            if (count < 0 || remaining() < count) {
                 throw new ProtocolException("a message is shorter than its fields");
             }
         }
--- a/router/src/main/java/ledgewall/pg/FrameReader.java
+++ b/router/src/main/java/ledgewall/pg/FrameReader.java
@@ -4,87 +4,92 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** Cuts a stream of bytes into messages, however the bytes come. Holds at most one message's bytes. */
+/** Splits a byte stream into messages, whatever the sizes of the pieces it arrives in. Buffers at most one message. */
 public final class FrameReader {
     private static final int PROTOCOL_MAJOR = 3;
-    private static final int FIRST_ROOM = 512;
-    /** As the servers of this protocol have it. */
-    private static final int LONGEST_STARTUP = 10_000;
+    private static final int INITIAL_BUFFER_BYTES = 512;
+    /** PostgreSQL's own limit for packets up to the startup message. */
+    private static final int MAX_STARTUP_BYTES = 10_000;
 
-    /** Judges a message by its header, before its body has come. */
-    public interface HeaderCheck {
-        void check(char type, int bodyLength) throws ProtocolException;
+    /** Rejects a message by its header, before its body has arrived. */
+    public interface HeaderValidator {
+        void validate(char type, int bodyLength) throws ProtocolException;
     }
 
-    private final int longest;
-    private final HeaderCheck headers;
-    private boolean typed;
-    private byte[] bytes = new byte[FIRST_ROOM];
-    private int filled;
-    private int size;
+    /** The largest value accepted in a message's length field. */
+    private final int maxLength;
+    private final HeaderValidator headerValidator;
+    /** Whether messages begin with a type byte: a client's do after its startup message, a host's always. */
+    private boolean hasTypeByte;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    /** How many bytes of {@link #buffer} hold data. */
+    private int buffered;
+    /** The size of the message with its header, in bytes; 0 until the header is complete. */
+    private int messageSize;
 
-    private FrameReader(int longest, boolean typed, HeaderCheck headers) {
-        this.longest = longest;
-        this.headers = headers;
-        this.typed = typed;
+    private FrameReader(int maxLength, boolean hasTypeByte, HeaderValidator headerValidator) {
+        this.maxLength = maxLength;
+        this.headerValidator = headerValidator;
+        this.hasTypeByte = hasTypeByte;
     }
 
-    /** For what a client sends: packets without a type until its startup message. */
-    public static FrameReader ofClient(int longest) {
-        return new FrameReader(longest, false, new ClientGrammar());
+    /** A reader of what a client sends: packets without a type byte up to and including the startup message. */
+    public static FrameReader ofClient(int maxLength) {
+        return new FrameReader(maxLength, false, new ClientHeaderValidator());
     }
 
-    /** For what a host sends. */
-    public static FrameReader ofHost(int longest) {
-        return new FrameReader(longest, true, new HostGrammar());
+    /** A reader of what a host sends. */
+    public static FrameReader ofHost(int maxLength) {
+        return new FrameReader(maxLength, true, new HostHeaderValidator());
     }
 
-    /** Takes all bytes of {@code in}; after an exception the reader is of no more use. */
+    /** Consumes all bytes of {@code in} and passes on each completed message; unusable after an exception. */
     public void feed(ByteBuffer in, Consumer<Frame> out) throws ProtocolException {
         while (in.hasRemaining()) {
-            int header = typed ? 1 + Frame.LENGTH_BYTES : Frame.LENGTH_BYTES;
-            fill(in, size == 0 ? header : size);
-            if (size == 0 && filled == header) {
-                size = size(header);
+            int headerSize = hasTypeByte ? 1 + Frame.LENGTH_BYTES : Frame.LENGTH_BYTES;
+            fill(in, messageSize == 0 ? headerSize : messageSize);
+            if (messageSize == 0 && buffered == headerSize) {
+                messageSize = messageSize(headerSize);
             }
-            if (size != 0 && filled == size) {
-                out.accept(finish());
+            if (messageSize != 0 && buffered == messageSize) {
+                out.accept(takeFrame());
             }
         }
     }
 
-    private void fill(ByteBuffer in, int upTo) {
-        int count = Math.min(in.remaining(), upTo - filled);
-        if (filled + count > bytes.length) { // grows with what has come, not with what was announced
-            bytes = Arrays.copyOf(bytes, Math.min(upTo, Math.max(2 * bytes.length, filled + count)));
+    private void fill(ByteBuffer in, int targetSize) {
+        int count = Math.min(in.remaining(), targetSize - buffered);
+        if (buffered + count > buffer.length) { // grows with the bytes received, not with the announced length
+            buffer = Arrays.copyOf(buffer, Math.min(targetSize, Math.max(2 * buffer.length, buffered + count)));
         }
-        in.get(bytes, filled, count);
-        filled += count;
+        in.get(buffer, buffered, count);
+        buffered += count;
     }
 
-    /** Bytes of a message that has not come whole. */
-    public int held() {
-        return filled;
+    /** How many bytes of an incomplete message are buffered. */
+    public int bufferedBytes() {
+        return buffered;
     }
 
-    private int size(int header) throws ProtocolException {
-        int length = ByteBuffer.wrap(bytes, header - Frame.LENGTH_BYTES, Frame.LENGTH_BYTES).getInt();
-        if (length < Frame.LENGTH_BYTES || length > (typed ? longest : LONGEST_STARTUP)) {
+    private int messageSize(int headerSize) throws ProtocolException {
+        int length = ByteBuffer.wrap(buffer, headerSize - Frame.LENGTH_BYTES, Frame.LENGTH_BYTES).getInt();
+        if (length < Frame.LENGTH_BYTES || length > (hasTypeByte ? maxLength : MAX_STARTUP_BYTES)) {
             throw new ProtocolException("a message announces a length of " + length);
         }
-        if (typed) {
-            headers.check((char) (bytes[0] & 0xff), length - Frame.LENGTH_BYTES);
+        if (hasTypeByte) {
+            headerValidator.validate((char) (buffer[0] & 0xff), length - Frame.LENGTH_BYTES);
         }
-        return header - Frame.LENGTH_BYTES + length;
+        return headerSize - Frame.LENGTH_BYTES + length;
     }
 
-    private Frame finish() {
-        Frame frame = new Frame(typed ? (char) (bytes[0] & 0xff) : Frame.UNTYPED, Arrays.copyOf(bytes, size));
-        typed |= frame.bodyLength() >= Short.BYTES
+    private Frame takeFrame() {
+        Frame frame = new Frame(hasTypeByte ? (char) (buffer[0] & 0xff) : Frame.UNTYPED, Arrays.copyOf(buffer, messageSize));
+        // a startup message begins with the major version; encryption requests carry another code and leave the type byte out
+        hasTypeByte |= frame.bodyLength() >= Short.BYTES
             && ByteBuffer.wrap(frame.bytes()).getShort(Frame.LENGTH_BYTES) == PROTOCOL_MAJOR;
-        bytes = bytes.length > FIRST_ROOM ? new byte[FIRST_ROOM] : bytes;
-        filled = 0;
-        size = 0;
+        buffer = buffer.length > INITIAL_BUFFER_BYTES ? new byte[INITIAL_BUFFER_BYTES] : buffer;
+        buffered = 0;
+        messageSize = 0;
         return frame;
     }
 }
--- a/router/src/main/java/ledgewall/pg/MessageWriter.java
+++ b/router/src/main/java/ledgewall/pg/MessageWriter.java
@@ -4,94 +4,99 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Builds the messages that the router itself says, to clients and to hosts. */
+/** Builds the messages that the router itself sends to clients and hosts. */
 public final class MessageWriter {
     private static final int PROTOCOL_3_0 = 3 << 16;
-    private static final int FIXED_FIELDS_OF_A_COLUMN = 18;
-    private static final byte[] READY = typed('Z', new byte[] {'I'});
-    private static final byte[] EMPTY = typed('I', new byte[0]);
-    private static final byte[] WELCOME = join(
-        typed('R', new byte[Integer.BYTES]), parameter("server_version", "16.0 (ledgewall)"),
-        parameter("client_encoding", "UTF8"), parameter("server_encoding", "UTF8"),
-        parameter("standard_conforming_strings", "on"), parameter("DateStyle", "ISO, MDY"),
-        parameter("integer_datetimes", "on"), typed('K', new byte[2 * Integer.BYTES]), READY);
+    /** Size of what follows a column's name in a RowDescription. */
+    private static final int COLUMN_FIXED_FIELD_BYTES = 18;
+    private static final byte[] READY_FOR_QUERY = message('Z', new byte[] {'I'});
+    private static final byte[] EMPTY_QUERY_RESPONSE = message('I', new byte[0]);
+    private static final byte[] STARTUP_REPLY = join(
+        message('R', new byte[Integer.BYTES]), parameterStatus("server_version", "16.0 (ledgewall)"),
+        parameterStatus("client_encoding", "UTF8"), parameterStatus("server_encoding", "UTF8"),
+        parameterStatus("standard_conforming_strings", "on"), parameterStatus("DateStyle", "ISO, MDY"),
+        parameterStatus("integer_datetimes", "on"), message('K', new byte[2 * Integer.BYTES]), READY_FOR_QUERY);
 
     private MessageWriter() {
     }
 
-    /** Authentication, parameters and ReadyForQuery in one. */
-    public static byte[] welcome() {
-        return WELCOME;
+    /** The whole reply to a startup message: AuthenticationOk, parameters, BackendKeyData and ReadyForQuery. */
+    public static byte[] startupReply() {
+        return STARTUP_REPLY;
     }
 
     public static byte[] readyForQuery() {
-        return READY;
+        return READY_FOR_QUERY;
     }
 
     public static byte[] emptyQueryResponse() {
-        return EMPTY;
+        return EMPTY_QUERY_RESPONSE;
     }
 
-    /** Tells a client that asked for a newer minor version that 3.0 is spoken. */
-    public static byte[] negotiateVersion() {
-        return typed('v', ByteBuffer.allocate(2 * Integer.BYTES).putInt(PROTOCOL_3_0).putInt(0).array());
+    /** Tells a client that asked for a newer minor version that only 3.0 is supported. */
+    public static byte[] negotiateProtocolVersion() {
+        return message('v', ByteBuffer.allocate(2 * Integer.BYTES).putInt(PROTOCOL_3_0).putInt(0).array());
     }
 
-    public static byte[] error(String sqlState, String text) {
-        return error("ERROR", sqlState, text, null);
+    public static byte[] error(String sqlState, String message) {
+        return error("ERROR", sqlState, message, null);
     }
 
-    public static byte[] error(String sqlState, String text, String detail) {
-        return error("ERROR", sqlState, text, detail);
+    /**
+     * An error that leaves the connection usable.
+     *
+     * @param detail the value of field {@code D}, the milliseconds to wait before a retry; null for no such field
+     */
+    public static byte[] error(String sqlState, String message, String detail) {
+        return error("ERROR", sqlState, message, detail);
     }
 
-    /** An error after which the connection ends. */
-    public static byte[] fatal(String sqlState, String text) {
-        return error("FATAL", sqlState, text, null);
+    /** An error after which the connection is closed. */
+    public static byte[] fatal(String sqlState, String message) {
+        return error("FATAL", sqlState, message, null);
     }
 
-    private static byte[] error(String severity, String sqlState, String text, String detail) {
-        return typed('E', join(field('S', severity), field('V', severity), field('C', sqlState), field('M', text),
-            detail == null ? new byte[0] : field('D', detail), new byte[1]));
+    private static byte[] error(String severity, String sqlState, String message, String detail) {
+        return message('E', join(errorField('S', severity), errorField('V', severity), errorField('C', sqlState),
+            errorField('M', message), detail == null ? new byte[0] : errorField('D', detail), new byte[1]));
     }
 
     public static byte[] startup(String user, String database) {
-        byte[] body = join(ByteBuffer.allocate(Integer.BYTES).putInt(PROTOCOL_3_0).array(), string("user"),
-            string(user), string("database"), string(database), new byte[1]);
+        byte[] body = join(ByteBuffer.allocate(Integer.BYTES).putInt(PROTOCOL_3_0).array(), cString("user"),
+            cString(user), cString("database"), cString(database), new byte[1]);
         return join(ByteBuffer.allocate(Integer.BYTES).putInt(body.length + Integer.BYTES).array(), body);
     }
 
     public static byte[] query(String sql) {
-        return typed('Q', string(sql));
+        return message('Q', cString(sql));
     }
 
-    /** A row of one column in binary, with its description and completion. */
-    public static byte[] row(String column, byte[] value) {
-        byte[] description = ByteBuffer.allocate(Short.BYTES + column.length() + 1 + FIXED_FIELDS_OF_A_COLUMN)
-            .putShort((short) 1).put(string(column)).array();
-        byte[] row = ByteBuffer.allocate(Short.BYTES + Integer.BYTES + value.length)
+    /** The result of a query, of one row with one binary column: RowDescription, DataRow and CommandComplete. */
+    public static byte[] result(String column, byte[] value) {
+        byte[] description = ByteBuffer.allocate(Short.BYTES + column.length() + 1 + COLUMN_FIXED_FIELD_BYTES)
+            .putShort((short) 1).put(cString(column)).array();
+        byte[] dataRow = ByteBuffer.allocate(Short.BYTES + Integer.BYTES + value.length)
             .putShort((short) 1).putInt(value.length).put(value).array();
-        return join(typed('T', description), typed('D', row), typed('C', string("SELECT 1")));
+        return join(message('T', description), message('D', dataRow), message('C', cString("SELECT 1")));
     }
 
-    public static byte[] parameter(String name, String value) {
-        return typed('S', join(string(name), string(value)));
+    public static byte[] parameterStatus(String name, String value) {
+        return message('S', join(cString(name), cString(value)));
     }
 
-    private static byte[] field(char type, String value) {
-        return join(new byte[] {(byte) type}, string(value));
+    private static byte[] errorField(char type, String value) {
+        return join(new byte[] {(byte) type}, cString(value));
     }
 
-    private static byte[] string(String value) {
+    private static byte[] cString(String value) {
         return (value + '\0').getBytes(StandardCharsets.UTF_8);
     }
 
-    private static byte[] typed(char type, byte[] body) {
+    private static byte[] message(char type, byte[] body) {
         return ByteBuffer.allocate(1 + Integer.BYTES + body.length).put((byte) type)
             .putInt(Integer.BYTES + body.length).put(body).array();
     }
 
-    /** The given pieces as one. */
     public static byte[] join(byte[]... parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (byte[] part : parts) {
--- a/router/src/main/java/ledgewall/pg/ProtocolException.java
+++ b/router/src/main/java/ledgewall/pg/ProtocolException.java
@@ -1,6 +1,6 @@
 package ledgewall.pg;
 
-/** The other side does not speak version 3 of the protocol as it should: its connection cannot go on. */
+/** The other side violates version 3 of the protocol: its connection has to be closed. */
 public final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/ledgewall/pg/Reply.java
+++ b/router/src/main/java/ledgewall/pg/Reply.java
@@ -3,115 +3,117 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A host's reply to one simple query, taken in message by message up to ReadyForQuery. */
+/** A host's reply to one simple query, taken in message by message up to ReadyForQuery: one row of one column, or an error. */
 public final class Reply {
-    /** The largest value that may be passed on. */
-    public static final int LONGEST_VALUE = 64 * 1024;
-    private static final int FIXED_FIELDS_OF_A_COLUMN = 18;
-    private static final int NULL = -1;
+    /** The largest value that is forwarded. */
+    public static final int MAX_VALUE_BYTES = 64 * 1024;
+    /** Size of what follows a column's name in a RowDescription. */
+    private static final int COLUMN_FIXED_FIELD_BYTES = 18;
+    /** Stands for the length of a value that is NULL. */
+    private static final int NULL_LENGTH = -1;
 
     private final Map<String, String> parameters = new HashMap<>();
-    private Frame description;
-    private Frame row;
-    private Frame completion;
+    private Frame rowDescription;
+    private Frame dataRow;
+    private Frame commandComplete;
     private String sqlState;
     private boolean ready;
 
     public void accept(Frame frame) throws ProtocolException {
         switch (frame.type()) {
-            case 'T' -> description(frame);
-            case 'D' -> row(frame);
-            case 'C' -> completion(frame);
-            case 'E' -> error(frame);
-            case 'S' -> parameter(frame);
+            case 'T' -> acceptRowDescription(frame);
+            case 'D' -> acceptDataRow(frame);
+            case 'C' -> acceptCommandComplete(frame);
+            case 'E' -> acceptError(frame);
+            case 'S' -> acceptParameterStatus(frame);
             case 'N' -> { }
-            case 'I' -> throw new ProtocolException("an empty answer to a query");
-            case 'Z' -> end();
+            case 'I' -> throw new ProtocolException("EmptyQueryResponse to a query that isn't empty");
+            case 'Z' -> acceptReadyForQuery();
             default -> throw new ProtocolException("unexpected message type " + (int) frame.type());
         }
     }
 
-    private void description(Frame frame) throws ProtocolException {
-        Frame.Body body = frame.body();
-        expect(description == null && sqlState == null && body.int16() == 1, "no single column");
-        body.string();
-        body.skip(FIXED_FIELDS_OF_A_COLUMN);
-        expect(body.left() == 0, "a description longer than its column");
-        description = frame;
+    private void acceptRowDescription(Frame frame) throws ProtocolException {
+        Frame.BodyReader body = frame.body();
+        require(rowDescription == null && sqlState == null && body.int16() == 1, "a result that doesn't have exactly one column");
+        body.cString();
+        body.skip(COLUMN_FIXED_FIELD_BYTES);
+        require(body.remaining() == 0, "a RowDescription longer than its column");
+        rowDescription = frame;
     }
 
-    private void row(Frame frame) throws ProtocolException {
-        Frame.Body body = frame.body();
-        expect(description != null && row == null && sqlState == null && body.int16() == 1,
-            "no single row of one column");
+    private void acceptDataRow(Frame frame) throws ProtocolException {
+        Frame.BodyReader body = frame.body();
+        require(rowDescription != null && dataRow == null && sqlState == null && body.int16() == 1,
+            "a result that doesn't have exactly one row of one column");
         int length = body.int32();
-        expect(length == (body.left() == 0 && length == NULL ? NULL : body.left()) && length <= LONGEST_VALUE,
-            "a value of " + length + " bytes");
-        row = frame;
+        require(length == (body.remaining() == 0 && length == NULL_LENGTH ? NULL_LENGTH : body.remaining())
+            && length <= MAX_VALUE_BYTES, "a value with a length of " + length + " bytes");
+        dataRow = frame;
     }
 
-    private void completion(Frame frame) throws ProtocolException {
-        expect(row != null && completion == null && sqlState == null, "completed without a row");
-        frame.body().string();
-        completion = frame;
+    private void acceptCommandComplete(Frame frame) throws ProtocolException {
+        require(dataRow != null && commandComplete == null && sqlState == null, "CommandComplete without a row");
+        frame.body().cString();
+        commandComplete = frame;
     }
 
-    private void error(Frame frame) throws ProtocolException {
-        expect(completion == null && sqlState == null, "an error after the end");
-        sqlState = Fault.sqlState(frame);
+    private void acceptError(Frame frame) throws ProtocolException {
+        require(commandComplete == null && sqlState == null, "an error after the end of the result");
+        sqlState = ErrorResponse.sqlState(frame);
     }
 
-    private void parameter(Frame frame) throws ProtocolException {
-        Frame.Body body = frame.body();
-        String name = body.string();
-        parameters.put(name, body.string());
+    private void acceptParameterStatus(Frame frame) throws ProtocolException {
+        Frame.BodyReader body = frame.body();
+        String name = body.cString();
+        parameters.put(name, body.cString());
     }
 
-    private void end() throws ProtocolException {
-        expect(completion != null || sqlState != null, "ready without an answer");
+    private void acceptReadyForQuery() throws ProtocolException {
+        require(commandComplete != null || sqlState != null, "ReadyForQuery without a result or an error");
         ready = true;
     }
 
-    private static void expect(boolean holds, String otherwise) throws ProtocolException {
-        if (!holds) {
-            throw new ProtocolException(otherwise);
+    private static void require(boolean condition, String message) throws ProtocolException {
+        if (!condition) {
+            throw new ProtocolException(message);
         }
     }
 
-    /** Whether the row has come whole. */
-    public boolean served() {
-        return completion != null;
+    /** Whether the whole result has arrived. */
+    public boolean succeeded() {
+        return commandComplete != null;
     }
 
-    /** The code of the error that was the answer, or null. */
+    /** The SQLSTATE of the error that the host replied with, or null. */
     public String sqlState() {
         return sqlState;
     }
 
-    /** Whether the host takes the next query. */
+    /** Whether the host accepts the next query. */
     public boolean ready() {
         return ready;
     }
 
-    /** Whether any of the answer has come. */
-    public boolean begun() {
-        return description != null || sqlState != null;
+    /** Whether any part of a result or an error has arrived. */
+    public boolean isStarted() {
+        return rowDescription != null || sqlState != null;
     }
 
-    /** The answer's messages as they came. */
-    public byte[] answer() {
-        return MessageWriter.join(description.bytes(), row.bytes(), completion.bytes());
+    /** The result's messages as received, without notices and parameters. */
+    public byte[] resultMessages() {
+        return MessageWriter.join(rowDescription.bytes(), dataRow.bytes(), commandComplete.bytes());
     }
 
-    /** The row's value as text, null where it is none. */
-    public String text() throws ProtocolException {
-        Frame.Body body = row.body();
+    /** The row's value as text, or null for SQL's NULL. */
+    public String value() throws ProtocolException {
+        Frame.BodyReader body = dataRow.body();
         body.int16();
         int length = body.int32();
-        return length == NULL ? null : body.text(length);
+        return length == NULL_LENGTH ? null : body.fixedLengthString(length);
     }
 
-    /** A parameter that the host told with this reply, or null. */
+    /** The value of a parameter that the host reported with this reply, or null. */
     public String parameter(String name) {
         return parameters.get(name);
     }
--- a/router/src/main/java/ledgewall/pg/SqlScanner.java
+++ b/router/src/main/java/ledgewall/pg/SqlScanner.java
@@ -1,87 +1,87 @@
 package ledgewall.pg;
 
-/** Walks over a statement's text: finds its first quoted value and makes sure that it is one statement. */
+/** Scans SQL text: hashes its first string literal and checks that the text holds exactly one statement. */
 final class SqlScanner {
     private final byte[] bytes;
     private final int end;
-    private int at;
+    private int position;
 
-    /** Makes a number of a piece of the bytes. */
-    interface Hash {
-        long of(byte[] bytes, int start, int end);
+    /** Hashes a range of bytes. */
+    interface RangeHash {
+        long hash(byte[] bytes, int start, int end);
     }
 
     private SqlScanner(byte[] bytes, int start, int end) {
         this.bytes = bytes;
-        this.at = start;
+        this.position = start;
         this.end = end;
     }
 
-    /** The hash of the first quoted value, or 0 where there is none. */
-    static long scan(byte[] bytes, int start, int end, Hash hash) throws Statement.Malformed {
-        return new SqlScanner(bytes, start, end).scan(hash);
+    /** The hash of the first string literal, or 0 if there is none. */
+    static long scan(byte[] bytes, int start, int end, RangeHash rangeHash) throws Statement.MalformedException {
+        return new SqlScanner(bytes, start, end).scan(rangeHash);
     }
 
-    private long scan(Hash hash) throws Statement.Malformed {
-        long key = 0;
-        boolean quoted = false;
-        boolean ended = false;
-        while (at < end) {
-            byte b = bytes[at];
+    private long scan(RangeHash rangeHash) throws Statement.MalformedException {
+        long firstLiteralHash = 0;
+        boolean literalSeen = false;
+        boolean terminated = false;
+        while (position < end) {
+            byte b = bytes[position];
             if (skipComment() || b == ' ' || b >= '\t' && b <= '\r') {
-                at++;
+                position++;
                 continue;
             }
             if (b == 0) {
-                throw new Statement.Malformed("a zero byte within a query");
+                throw new Statement.MalformedException("a zero byte within a query");
             } else if (b == ';') {
-                ended = true;
-            } else if (ended) {
-                throw new Statement.Malformed("a query holds more than one statement");
+                terminated = true;
+            } else if (terminated) {
+                throw new Statement.MalformedException("a query holds more than one statement");
             } else if (b == '\'' || b == '"') {
-                int start = at + 1;
-                skipQuoted(b, b == '\'' && at > 0 && (bytes[at - 1] | 0x20) == 'e');
-                if (b == '\'' && !quoted) {
-                    quoted = true;
-                    key = hash.of(bytes, start, at);
+                int start = position + 1;
+                skipQuoted(b, b == '\'' && position > 0 && (bytes[position - 1] | 0x20) == 'e');
+                if (b == '\'' && !literalSeen) {
+                    literalSeen = true;
+                    firstLiteralHash = rangeHash.hash(bytes, start, position);
                 }
             }
-            at++;
+            position++;
         }
-        return key;
+        return firstLiteralHash;
     }
 
-    /** Stands on the closing quote afterwards; a doubled quote is part of the value. */
-    private void skipQuoted(byte quote, boolean escapes) throws Statement.Malformed {
-        at++;
-        while (at < end && bytes[at] != 0) {
-            if (escapes && bytes[at] == '\\') {
-                at++;
-            } else if (bytes[at] == quote) {
-                if (at + 1 >= end || bytes[at + 1] != quote) {
+    /** Moves to the closing quote; a doubled quote is part of the value. */
+    private void skipQuoted(byte quote, boolean backslashEscapes) throws Statement.MalformedException {
+        position++;
+        while (position < end && bytes[position] != 0) {
+            if (backslashEscapes && bytes[position] == '\\') {
+                position++;
+            } else if (bytes[position] == quote) {
+                if (position + 1 >= end || bytes[position + 1] != quote) {
                     return;
                 }
-                at++;
+                position++;
             }
-            at++;
+            position++;
         }
-        throw new Statement.Malformed("a quoted value does not end");
+        throw new Statement.MalformedException("a quoted value does not end");
     }
 
-    /** Stands on a comment's last byte afterwards, if one begins here. */
+    /** Moves to the last byte of a comment if one begins here. */
     private boolean skipComment() {
-        if (at + 1 < end && bytes[at] == '-' && bytes[at + 1] == '-') {
-            while (at < end && bytes[at] != '\n') {
-                at++;
+        if (position + 1 < end && bytes[position] == '-' && bytes[position + 1] == '-') {
+            while (position < end && bytes[position] != '\n') {
+                position++;
             }
             return true;
         }
-        if (at + 1 < end && bytes[at] == '/' && bytes[at + 1] == '*') {
-            at += 2;
-            while (at + 1 < end && !(bytes[at] == '*' && bytes[at + 1] == '/')) {
-                at++;
+        if (position + 1 < end && bytes[position] == '/' && bytes[position + 1] == '*') {
+            position += 2;
+            while (position + 1 < end && !(bytes[position] == '*' && bytes[position + 1] == '/')) {
+                position++;
             }
-            at++;
+            position++;
             return true;
         }
         return false;
--- a/router/src/main/java/ledgewall/pg/SqlSummary.java
+++ b/router/src/main/java/ledgewall/pg/SqlSummary.java
@@ -7,135 +7,140 @@
 import java.util.Set;
 
 /**
- * What a statement without our comment says about itself, by PostgreSQL's lexical structure (its manual, section 4.1): its
- * first word, the tables that it names, whether any word of it changes data. It reads words, not grammar: what is said to
- * write may not, what is said not to write changes data only through functions.
+ * Facts about a statement that are derived from its SQL text: the first word, the tables that it names and whether it
+ * writes. The text is split into tokens by PostgreSQL's lexical structure (section 4.1 of its manual) and not parsed, so
+ * {@code writes} can be true for a statement that only reads; where it is false, only functions can change data.
  *
- * @param keyword the first word, in capitals
- * @param tables names behind FROM, JOIN, INTO, UPDATE and TABLE, in lower case, without quotes or schema
- * @param writes whether a word that changes data or locks rows stands outside quotes
- * @param needsSession whether its effect lasts beyond it on its connection, which this router gives to others
- * @param key the first quoted value, or null
+ * @param keyword the first word, in upper case
+ * @param tables the names that follow FROM, JOIN, INTO, UPDATE, TABLE and USING, without quotes or schema; names written
+ *     without quotes are in lower case
+ * @param writes whether a keyword that changes data or locks rows occurs outside quotes
+ * @param needsSession whether its effect on the connection outlasts it; this router shares its connections among clients
+ * @param firstLiteral the first string literal, or null
  */
-public record SqlSummary(String keyword, List<String> tables, boolean writes, boolean needsSession, String key) {
-    private static final int MOST_TABLES = 16;
-    private static final int LONGEST_NAME = 128;
-    private static final Set<String> WRITING = Set.of("INSERT", "UPDATE", "DELETE", "MERGE", "TRUNCATE", "CREATE", "ALTER",
+public record SqlSummary(String keyword, List<String> tables, boolean writes, boolean needsSession, String firstLiteral) {
+    private static final int MAX_TABLES = 16;
+    private static final int MAX_NAME_LENGTH = 128;
+    private static final Set<String> WRITE_KEYWORDS = Set.of("INSERT", "UPDATE", "DELETE", "MERGE", "TRUNCATE", "CREATE", "ALTER",
         "DROP", "GRANT", "REVOKE", "CALL", "DO", "VACUUM", "REINDEX", "CLUSTER", "REFRESH", "COMMENT", "IMPORT", "SECURITY");
-    private static final Set<String> SESSION = Set.of("BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT", "SAVEPOINT",
-        "RELEASE", "SET", "RESET", "DISCARD", "PREPARE", "EXECUTE", "DEALLOCATE", "DECLARE", "FETCH", "MOVE", "CLOSE", "LISTEN",
-        "UNLISTEN", "NOTIFY", "LOCK", "COPY", "LOAD", "CHECKPOINT");
-    private static final Set<String> BEFORE_TABLE = Set.of("FROM", "JOIN", "INTO", "UPDATE", "TABLE", "USING");
-    private static final Set<String> NO_TABLE = Set.of("SELECT", "ONLY", "LATERAL", "SET", "UNNEST", "VALUES", "EXISTS", "IF",
-        "OF", "NOWAIT", "SKIP");
-
-    static SqlSummary of(byte[] bytes, int start, int end) throws Statement.Malformed {
-        return new Scanner(bytes, start, end).scan();
+    private static final Set<String> SESSION_KEYWORDS = Set.of("BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT",
+        "SAVEPOINT", "RELEASE", "SET", "RESET", "DISCARD", "PREPARE", "EXECUTE", "DEALLOCATE", "DECLARE", "FETCH", "MOVE",
+        "CLOSE", "LISTEN", "UNLISTEN", "NOTIFY", "LOCK", "COPY", "LOAD", "CHECKPOINT");
+    private static final Set<String> TABLE_PREFIX_KEYWORDS = Set.of("FROM", "JOIN", "INTO", "UPDATE", "TABLE", "USING");
+    private static final Set<String> NON_TABLE_KEYWORDS = Set.of("SELECT", "ONLY", "LATERAL", "SET", "UNNEST", "VALUES",
+        "EXISTS", "IF", "OF", "NOWAIT", "SKIP");
+
+    static SqlSummary of(byte[] bytes, int start, int end) throws Statement.MalformedException {
+        return new Lexer(bytes, start, end).scan();
     }
 
-    /** Of a statement's text; null if it is no one statement. */
+    /** The summary of a statement; null if the text isn't exactly one statement. */
     public static SqlSummary ofText(String sql) {
         byte[] bytes = sql.getBytes(StandardCharsets.UTF_8);
         try {
             return of(bytes, 0, bytes.length);
-        } catch (Statement.Malformed e) {
+        } catch (Statement.MalformedException e) {
             return null;
         }
     }
 
-    /** One pass over the bytes; what stands in quotes or comments is no word. */
-    private static final class Scanner {
+    /** Scans the bytes once. Text inside quotes or comments is not matched against keywords. */
+    private static final class Lexer {
         private final byte[] bytes;
         private final int end;
-        private int at;
-        private String first;
-        private String previous = "";
-        private boolean tableNext;
+        private int position;
+        private String firstWord;
+        private String previousWord = "";
+        /** Whether the next name is a table's. */
+        private boolean expectsTable;
         private boolean writes;
-        private boolean ended;
-        private String key;
+        /** Whether the statement's semicolon has been seen. */
+        private boolean terminated;
+        private String firstLiteral;
         private final Set<String> tables = new LinkedHashSet<>();
 
-        private Scanner(byte[] bytes, int start, int end) {
+        private Lexer(byte[] bytes, int start, int end) {
             this.bytes = bytes;
-            this.at = start;
+            this.position = start;
             this.end = end;
         }
 
-        private SqlSummary scan() throws Statement.Malformed {
-            while (at < end) {
-                if (!skipBlank()) {
-                    token();
+        private SqlSummary scan() throws Statement.MalformedException {
+            while (position < end) {
+                if (!skipBlankOrComment()) {
+                    scanToken();
                 }
             }
-            String keyword = first == null ? "" : first;
-            return new SqlSummary(keyword, List.copyOf(tables), writes, SESSION.contains(keyword), key);
+            String keyword = firstWord == null ? "" : firstWord;
+            return new SqlSummary(keyword, List.copyOf(tables), writes, SESSION_KEYWORDS.contains(keyword), firstLiteral);
         }
 
-        private void token() throws Statement.Malformed {
-            byte b = bytes[at];
+        private void scanToken() throws Statement.MalformedException {
+            byte b = bytes[position];
             if (b == 0) {
-                throw new Statement.Malformed("a zero byte within a query");
+                throw new Statement.MalformedException("a zero byte within a query");
             }
             if (b == ';') {
-                ended = true;
-                at++;
+                terminated = true;
+                position++;
                 return;
             }
-            if (ended) {
-                throw new Statement.Malformed("a query holds more than one statement");
+            if (terminated) {
+                throw new Statement.MalformedException("a query holds more than one statement");
             }
             if (b == '\'') {
-                quoted(false);
+                scanStringLiteral(false);
             } else if (b == '"') {
-                name(identifier());
-            } else if (b == '$' && dollar()) {
-                tableNext = false;
+                addTableIfExpected(scanQuotedIdentifier());
+            } else if (b == '$' && skipDollarQuoted()) {
+                expectsTable = false;
             } else if (isLetter(b)) {
-                word();
+                scanWord();
             } else {
-                tableNext &= b == '(' || b == '.';
-                at++;
+                expectsTable &= b == '(' || b == '.';
+                position++;
             }
         }
 
-        private void word() throws Statement.Malformed {
-            int start = at;
-            while (at < end && (isLetter(bytes[at]) || bytes[at] >= '0' && bytes[at] <= '9' || bytes[at] == '$')) {
-                at++;
+        private void scanWord() throws Statement.MalformedException {
+            int start = position;
+            while (position < end && (isLetter(bytes[position]) || bytes[position] >= '0' && bytes[position] <= '9'
+                    || bytes[position] == '$')) {
+                position++;
             }
-            String text = text(start, at);
+            String text = text(start, position);
             String upper = text.toUpperCase(Locale.ROOT);
-            if (at < end && bytes[at] == '\'' && (upper.equals("E") || upper.equals("B") || upper.equals("X")
+            if (position < end && bytes[position] == '\'' && (upper.equals("E") || upper.equals("B") || upper.equals("X")
                     || upper.equals("N"))) {
-                quoted(upper.equals("E"));
+                scanStringLiteral(upper.equals("E"));
                 return;
             }
-            if (first == null) {
-                first = upper;
+            if (firstWord == null) {
+                firstWord = upper;
             }
-            boolean part = at < end && bytes[at] == '.' || start > 0 && bytes[start - 1] == '.';
-            // FOR SHARE locks rows as FOR UPDATE does, and SELECT ... INTO makes a table
-            writes |= !part && (WRITING.contains(upper) || upper.equals("SHARE") && previous.matches("FOR|KEY")
-                || upper.equals("INTO") && "SELECT".equals(first));
-            if (BEFORE_TABLE.contains(upper) && !part) {
-                tableNext = true;
+            boolean qualified = position < end && bytes[position] == '.' || start > 0 && bytes[start - 1] == '.';
+            // FOR SHARE locks rows as FOR UPDATE does, and SELECT ... INTO creates a table
+            writes |= !qualified && (WRITE_KEYWORDS.contains(upper) || upper.equals("SHARE") && previousWord.matches("FOR|KEY")
+                || upper.equals("INTO") && "SELECT".equals(firstWord));
+            if (TABLE_PREFIX_KEYWORDS.contains(upper) && !qualified) {
+                expectsTable = true;
             } else {
-                name(text.toLowerCase(Locale.ROOT));
+                addTableIfExpected(text.toLowerCase(Locale.ROOT));
             }
-            previous = upper;
+            previousWord = upper;
         }
 
-        private void name(String name) {
-            if (!tableNext || NO_TABLE.contains(name.toUpperCase(Locale.ROOT))) {
+        /** Adds the table unless the tokens before it call for another kind of name; a schema name is skipped. */
+        private void addTableIfExpected(String name) {
+            if (!expectsTable || NON_TABLE_KEYWORDS.contains(name.toUpperCase(Locale.ROOT))) {
                 return;
             }
-            if (at < end && bytes[at] == '.') {
-                at++; // its schema: the table comes behind it
+            if (position < end && bytes[position] == '.') {
+                position++; // a schema name: the table name follows
                 return;
             }
-            tableNext = false;
-            if (tables.size() < MOST_TABLES && name.length() <= LONGEST_NAME) {
+            expectsTable = false;
+            if (tables.size() < MAX_TABLES && name.length() <= MAX_NAME_LENGTH) {
                 tables.add(name);
             }
         }
@@ -144,69 +149,70 @@
             return new String(bytes, start, stop - start, StandardCharsets.UTF_8);
         }
 
-        /** A string constant; a doubled quote is part of it. */
-        private void quoted(boolean escapes) throws Statement.Malformed {
-            int start = ++at;
-            while (at < end && bytes[at] != 0) {
-                if (escapes && bytes[at] == '\\') {
-                    at++;
-                } else if (bytes[at] == '\'') {
-                    if (at + 1 >= end || bytes[at + 1] != '\'') {
-                        key = key == null ? text(start, at) : key;
-                        at++;
+        /** Scans a string literal; a doubled quote is part of the value and doesn't end it. */
+        private void scanStringLiteral(boolean backslashEscapes) throws Statement.MalformedException {
+            int start = ++position;
+            while (position < end && bytes[position] != 0) {
+                if (backslashEscapes && bytes[position] == '\\') {
+                    position++;
+                } else if (bytes[position] == '\'') {
+                    if (position + 1 >= end || bytes[position + 1] != '\'') {
+                        firstLiteral = firstLiteral == null ? text(start, position) : firstLiteral;
+                        position++;
                         return;
                     }
-                    at++;
+                    position++;
                 }
-                at++;
+                position++;
             }
-            throw new Statement.Malformed("a quoted value does not end");
+            throw new Statement.MalformedException("a quoted value does not end");
         }
 
-        private String identifier() throws Statement.Malformed {
-            int start = ++at;
-            while (at < end && bytes[at] != 0) {
-                if (bytes[at] == '"') {
-                    if (at + 1 >= end || bytes[at + 1] != '"') {
-                        return text(start, at++);
+        private String scanQuotedIdentifier() throws Statement.MalformedException {
+            int start = ++position;
+            while (position < end && bytes[position] != 0) {
+                if (bytes[position] == '"') {
+                    if (position + 1 >= end || bytes[position + 1] != '"') {
+                        return text(start, position++);
                     }
-                    at++;
+                    position++;
                 }
-                at++;
+                position++;
             }
-            throw new Statement.Malformed("a quoted name does not end");
+            throw new Statement.MalformedException("a quoted name does not end");
         }
 
-        /** Passes over a constant between dollar signs, if one begins here; a parameter such as $1 is none. */
-        private boolean dollar() throws Statement.Malformed {
-            int tag = at + 1;
-            while (tag < end && (isLetter(bytes[tag]) || tag > at + 1 && bytes[tag] >= '0' && bytes[tag] <= '9')) {
-                tag++;
+        /** Skips a dollar-quoted string if one begins here; false for anything else, such as a parameter like $1. */
+        private boolean skipDollarQuoted() throws Statement.MalformedException {
+            int tagEnd = position + 1;
+            while (tagEnd < end && (isLetter(bytes[tagEnd])
+                    || tagEnd > position + 1 && bytes[tagEnd] >= '0' && bytes[tagEnd] <= '9')) {
+                tagEnd++;
             }
-            if (tag >= end || bytes[tag] != '$') {
+            if (tagEnd >= end || bytes[tagEnd] != '$') {
                 return false;
             }
-            int length = tag + 1 - at;
-            for (int stop = tag + 1; stop + length <= end; stop++) {
-                if (java.util.Arrays.equals(bytes, at, at + length, bytes, stop, stop + length)) {
-                    at = stop + length;
+            int delimiterLength = tagEnd + 1 - position;
+            for (int close = tagEnd + 1; close + delimiterLength <= end; close++) {
+                if (java.util.Arrays.equals(bytes, position, position + delimiterLength, bytes, close, close + delimiterLength)) {
+                    position = close + delimiterLength;
                     return true;
                 }
             }
-            throw new Statement.Malformed("a quoted value does not end");
+            throw new Statement.MalformedException("a quoted value does not end");
         }
 
-        /** White space and comments; block comments nest. */
-        private boolean skipBlank() throws Statement.Malformed {
-            byte b = bytes[at];
-            byte next = at + 1 < end ? bytes[at + 1] : 0;
+        /** Skips a white space character or a comment if one begins here. Block comments nest. */
+        private boolean skipBlankOrComment() throws Statement.MalformedException {
+            byte b = bytes[position];
+            byte next = position + 1 < end ? bytes[position + 1] : 0;
             if (b == ' ' || b >= '\t' && b <= '\r') {
-                at++;
+                position++;
                 return true;
             }
             if (b == '-' && next == '-') {
-                while (at < end && bytes[at] != '\n' && bytes[at] != '\r') {
-                    at++;
+                while (position < end && bytes[position] != '\n' && bytes[position] != '\r') {
+                    position++;
                 }
                 return true;
             }
@@ -215,13 +221,13 @@
             }
             int depth = 0;
             do {
-                if (at + 1 >= end) {
-                    throw new Statement.Malformed("the comment does not end");
+                if (position + 1 >= end) {
+                    throw new Statement.MalformedException("the comment does not end");
                 }
-                boolean opens = bytes[at] == '/' && bytes[at + 1] == '*';
-                boolean closes = bytes[at] == '*' && bytes[at + 1] == '/';
+                boolean opens = bytes[position] == '/' && bytes[position + 1] == '*';
+                boolean closes = bytes[position] == '*' && bytes[position + 1] == '/';
                 depth += opens ? 1 : closes ? -1 : 0;
-                at += opens || closes ? 2 : 1;
+                position += opens || closes ? 2 : 1;
             } while (depth > 0);
             return true;
         }
--- a/router/src/main/java/ledgewall/pg/Statement.java
+++ b/router/src/main/java/ledgewall/pg/Statement.java
@@ -6,160 +6,163 @@
 import java.util.Map;
 
 /**
- * A query with the comment that goes before it. The bytes stay as they came; only what decisions need is taken
- * out, and only the digits of {@code d} are ever written anew.
+ * A query with the routing comment that precedes its SQL, which holds fields such as
+ * {@code id=9b1f,c=basket,d=480,cluster=2}. The message's bytes stay as received, and only what routing needs is parsed; only
+ * the digits of {@code d}, the milliseconds that the client waits for its answer, are ever rewritten.
  */
 public final class Statement {
-    /** As many digits as surely fit a long. */
-    private static final int MOST_DIGITS = 15;
-    private static final int LONGEST_NAME = 64;
+    /** So many digits always fit in a long. */
+    private static final int MAX_DIGITS = 15;
+    private static final int MAX_NAME_LENGTH = 64;
+    /** The first character above the printable ones of ASCII. */
     private static final int DELETE = 0x7f;
-    /** Room for many times the fields that there are. */
-    private static final int LONGEST_COMMENT = 2_048;
+    /** Leaves room for many times the fields that are defined. */
+    private static final int MAX_COMMENT_BYTES = 2_048;
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
     private final byte[] frame;
     private final Map<String, Field> fields;
-    /** What a comment says that is not whole: for whoever classifies the statement. */
-    private final Map<String, String> loose;
+    /** The fields of an incomplete routing comment, for the classifier; else empty. */
+    private final Map<String, String> partialComment;
     private final String id;
     private final String className;
     private final String tenant;
-    private final boolean retry;
-    private final long waitMillis;
+    private final boolean isRetry;
+    private final long timeoutMillis;
     private final long group;
-    private final long writtenAtMillis;
+    private final long lastWriteMillis;
     private final long sessionKey;
-    /** Of a statement that is to be classified; else null. */
+    /** Null unless statements without a complete routing comment are accepted. */
     private final SqlSummary summary;
 
-    /** Where a field's value stands in the message. */
+    /** A field's value and its position in the message, as indexes of bytes. */
     private record Field(String value, int start, int end) { }
 
-    /** A query that is none for this router; the text is for its sender. */
-    public static final class Malformed extends Exception {
+    /** The query cannot be routed; the message is sent to the client. */
+    public static final class MalformedException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String message) {
+        MalformedException(String message) {
             super(message);
         }
     }
 
-    private Statement(byte[] frame, Map<String, Field> fields, int sqlStart) throws Malformed {
+    private Statement(byte[] frame, Map<String, Field> fields, int sqlStart) throws MalformedException {
         this.frame = frame;
         this.fields = fields;
-        this.loose = Map.of();
-        this.id = plain("id", required("id"));
-        this.className = plain("c", required("c"));
-        this.tenant = fields.containsKey("t") ? plain("t", fields.get("t")) : "";
-        this.retry = fields.containsKey("r") && fields.get("r").value().equals("1");
+        this.partialComment = Map.of();
+        this.id = printableName("id", required("id"));
+        this.className = printableName("c", required("c"));
+        this.tenant = fields.containsKey("t") ? printableName("t", fields.get("t")) : "";
+        this.isRetry = fields.containsKey("r") && fields.get("r").value().equals("1");
         this.summary = null;
-        this.waitMillis = number("d", required("d"));
+        this.timeoutMillis = number("d", required("d"));
         this.group = number("cluster", required("cluster"));
-        this.writtenAtMillis = fields.containsKey("after") ? number("after", fields.get("after")) : 0;
+        this.lastWriteMillis = fields.containsKey("after") ? number("after", fields.get("after")) : 0;
         this.sessionKey = SqlScanner.scan(frame, sqlStart, frame.length - 1, Statement::hash);
     }
 
-    private Statement(Statement other, SqlSummary summary, String id, Classified as) {
+    private Statement(Statement other, SqlSummary summary, String id, Classification classification) {
         this.frame = other.frame;
         this.fields = other.fields;
-        this.loose = other.loose;
+        this.partialComment = other.partialComment;
         this.summary = summary;
         this.id = id;
-        this.className = as.className();
-        this.tenant = as.tenant();
-        this.waitMillis = as.waitMillis();
-        this.group = as.group();
-        this.writtenAtMillis = other.writtenAtMillis;
-        this.sessionKey = as.session() == null ? other.sessionKey : hash(as.session());
-        this.retry = as.retry();
+        this.className = classification.className();
+        this.tenant = classification.tenant();
+        this.timeoutMillis = classification.timeoutMillis();
+        this.group = classification.group();
+        this.lastWriteMillis = other.lastWriteMillis;
+        this.sessionKey = classification.sessionKey() == null ? other.sessionKey : hash(classification.sessionKey());
+        this.isRetry = classification.isRetry();
     }
 
-    /** One whose fields nobody has told yet. */
-    private Statement(byte[] frame, Map<String, String> loose, SqlSummary summary) {
+    /** A statement that still has to be classified. */
+    private Statement(byte[] frame, Map<String, String> partialComment, SqlSummary summary) {
         this.frame = frame;
-        this.fields = Map.of(); // no field of it is this router's to write anew
-        this.loose = loose;
+        this.fields = Map.of(); // so that withTimeout rewrites nothing
+        this.partialComment = partialComment;
         this.summary = summary;
         this.id = "";
         this.className = "";
         this.tenant = "";
-        this.retry = false;
-        this.waitMillis = 0;
+        this.isRetry = false;
+        this.timeoutMillis = 0;
         this.group = 0;
-        this.writtenAtMillis = 0;
-        this.sessionKey = summary.key() == null ? 0 : hash(summary.key());
+        this.lastWriteMillis = 0;
+        this.sessionKey = summary.firstLiteral() == null ? 0 : hash(summary.firstLiteral());
     }
 
-    /** Reads a whole Query message that need not bring the comment: where it brings none that will do, it is to be classified. */
-    static Statement parseAny(byte[] frame) throws Malformed {
+    /** Parses a whole Query message; a statement without a complete routing comment still has to be classified. */
+    static Statement parseWithOptionalComment(byte[] frame) throws MalformedException {
         SqlSummary summary = SqlSummary.of(frame, Frame.LENGTH_BYTES + 1, frame.length - 1);
         try {
-            Statement whole = parse(frame);
-            return new Statement(whole, summary, whole.id, new Classified(whole.className, whole.tenant, whole.group, null,
-                whole.waitMillis, whole.retry));
-        } catch (Malformed e) {
-            return new Statement(frame, looseComment(frame), summary);
+            Statement complete = parse(frame);
+            return new Statement(complete, summary, complete.id, new Classification(complete.className,
+                complete.tenant, complete.group, null, complete.timeoutMillis, complete.isRetry));
+        } catch (MalformedException e) {
+            return new Statement(frame, commentValues(frame), summary);
         }
     }
 
-    /** Whether it brought the comment with all that a router needs. */
-    public boolean isCommented() {
+    /** Whether the statement has a complete routing comment; false until a statement without one is classified. */
+    public boolean hasRoutingComment() {
         return !id.isEmpty();
     }
 
-    /** What it says about itself, where plain statements are taken. */
+    /** Facts derived from the SQL text; null where only statements with a complete routing comment are accepted. */
     public SqlSummary summary() {
         return summary;
     }
 
-    /** The names and values of a comment before the statement, whatever it lacks; none where it cannot be read. */
-    private static Map<String, String> looseComment(byte[] frame) {
+    /** The fields of a comment that precedes the SQL, even if required ones are missing; empty if it cannot be parsed. */
+    private static Map<String, String> commentValues(byte[] frame) {
         try {
-            int at = skipSpace(frame, Frame.LENGTH_BYTES + 1, frame.length - 1);
+            int position = skipSpace(frame, Frame.LENGTH_BYTES + 1, frame.length - 1);
             Map<String, String> values = new HashMap<>();
-            if (startsWith(frame, at, "/*")) {
-                fields(frame, at + 2, commentEnd(frame, at)).forEach((name, field) -> values.put(name, field.value()));
+            if (startsWith(frame, position, "/*")) {
+                fields(frame, position + 2, commentEnd(frame, position))
+                    .forEach((name, field) -> values.put(name, field.value()));
             }
             return values;
-        } catch (Malformed e) {
+        } catch (MalformedException e) {
             return Map.of();
         }
     }
 
-    /** The fields of its comment. */
-    public Map<String, String> comment() {
-        Map<String, String> values = new HashMap<>(loose);
+    /** The names and values of the fields in its comment. */
+    public Map<String, String> commentFields() {
+        Map<String, String> values = new HashMap<>(partialComment);
         fields.forEach((name, field) -> values.put(name, field.value()));
         return values;
     }
 
-    /** Its text, as UTF-8 if it can be. */
+    /** Its SQL text with the comment, decoded as UTF-8. */
     public String text() {
         return new String(frame, Frame.LENGTH_BYTES + 1, frame.length - Frame.LENGTH_BYTES - 2, StandardCharsets.UTF_8);
     }
 
-    /** This statement with what a classifier says of it, under an id of its own or of the router's. */
-    public Statement as(Classified classified, String routersId) {
-        return new Statement(this, summary, id.isEmpty() ? routersId : id, classified);
+    /** This statement with a classifier's result; {@code fallbackId} is its id if it lacks a complete comment. */
+    public Statement withClassification(Classification classification, String fallbackId) {
+        return new Statement(this, summary, id.isEmpty() ? fallbackId : id, classification);
     }
 
-    /** Reads a whole Query message. */
-    static Statement parse(byte[] frame) throws Malformed {
-        int at = skipSpace(frame, Frame.LENGTH_BYTES + 1, frame.length - 1);
-        if (!startsWith(frame, at, "/*")) {
-            throw new Malformed("a statement needs the comment with its id, class, wait and cluster");
+    /** Parses a whole Query message, which needs a complete routing comment. */
+    static Statement parse(byte[] frame) throws MalformedException {
+        int position = skipSpace(frame, Frame.LENGTH_BYTES + 1, frame.length - 1);
+        if (!startsWith(frame, position, "/*")) {
+            throw new MalformedException("a statement needs the comment with its id, class, wait and cluster");
         }
-        int close = commentEnd(frame, at);
-        return new Statement(frame, fields(frame, at + 2, close), close + 2);
+        int close = commentEnd(frame, position);
+        return new Statement(frame, fields(frame, position + 2, close), close + 2);
     }
 
-    private static int commentEnd(byte[] frame, int at) throws Malformed {
-        int close = at + 2;
+    private static int commentEnd(byte[] frame, int position) throws MalformedException {
+        int close = position + 2;
         while (!startsWith(frame, close, "*/")) {
-            if (close >= frame.length - 1 || close > at + LONGEST_COMMENT) {
-                throw new Malformed("the comment does not end");
+            if (close >= frame.length - 1 || close > position + MAX_COMMENT_BYTES) {
+                throw new MalformedException("the comment does not end");
             }
             close++;
         }
@@ -167,28 +170,28 @@
     }
 
     static boolean isEmpty(byte[] bytes, int start, int end) {
-        int at = skipSpace(bytes, start, end);
-        while (at < end && bytes[at] == ';') {
-            at = skipSpace(bytes, at + 1, end);
+        int position = skipSpace(bytes, start, end);
+        while (position < end && bytes[position] == ';') {
+            position = skipSpace(bytes, position + 1, end);
         }
-        return at == end;
+        return position == end;
     }
 
-    private static Map<String, Field> fields(byte[] bytes, int start, int end) throws Malformed {
+    private static Map<String, Field> fields(byte[] bytes, int start, int end) throws MalformedException {
         Map<String, Field> fields = new HashMap<>();
-        int at = start;
-        while (at < end) {
-            int stop = at;
+        int position = start;
+        while (position < end) {
+            int stop = position;
             while (stop < end && bytes[stop] != ',') {
                 stop++;
             }
-            addField(bytes, at, stop, fields);
-            at = stop + 1;
+            addField(bytes, position, stop, fields);
+            position = stop + 1;
         }
         return fields;
     }
 
-    private static void addField(byte[] bytes, int start, int end, Map<String, Field> fields) throws Malformed {
+    private static void addField(byte[] bytes, int start, int end, Map<String, Field> fields) throws MalformedException {
         int first = skipSpace(bytes, start, end);
         int last = end;
         while (last > first && isSpace(bytes[last - 1])) {
@@ -199,37 +202,37 @@
             equals++;
         }
         if (equals == last) {
-            return; // no name and value: passed over like an unknown name
+            return; // not a name=value pair: ignored like an unknown name
         }
         String name = new String(bytes, first, equals - first, StandardCharsets.UTF_8);
         String value = new String(bytes, equals + 1, last - equals - 1, StandardCharsets.UTF_8);
         if (fields.put(name, new Field(value, equals + 1, last)) != null) {
-            throw new Malformed("the comment names '" + name + "' twice");
+            throw new MalformedException("the comment names '" + name + "' twice");
         }
     }
 
-    private Field required(String name) throws Malformed {
+    private Field required(String name) throws MalformedException {
         Field field = fields.get(name);
         if (field == null || field.value().isEmpty()) {
-            throw new Malformed("the comment lacks '" + name + "'");
+            throw new MalformedException("the comment lacks '" + name + "'");
         }
         return field;
     }
 
-    /** Ids and names are short and of letters that can be seen: anything else is no usual client's. */
-    private static String plain(String name, Field field) throws Malformed {
+    /** The field's value, which has to be short printable ASCII without spaces: no usual client sends other ids and names. */
+    private static String printableName(String name, Field field) throws MalformedException {
         String value = field.value();
-        if (value.length() > LONGEST_NAME || !value.chars().allMatch(c -> c > ' ' && c < DELETE)) {
-            throw new Malformed("'" + name + "' is no plain name");
+        if (value.length() > MAX_NAME_LENGTH || !value.chars().allMatch(c -> c > ' ' && c < DELETE)) {
+            throw new MalformedException("'" + name + "' is no plain name");
         }
         return value;
     }
 
-    private static long number(String name, Field field) throws Malformed {
+    private static long number(String name, Field field) throws MalformedException {
         String value = field.value();
-        if (value.isEmpty() || value.length() > MOST_DIGITS
+        if (value.isEmpty() || value.length() > MAX_DIGITS
                 || !value.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new Malformed("'" + name + "' is no number");
+            throw new MalformedException("'" + name + "' is no number");
         }
         return Long.parseLong(value);
     }
@@ -247,54 +250,57 @@
         return tenant;
     }
 
-    public long waitMillis() {
-        return waitMillis;
+    /** How long the client waits for its answer. */
+    public long timeoutMillis() {
+        return timeoutMillis;
     }
 
+    /** The number of the group that holds the data: field {@code cluster}. */
     public long group() {
         return group;
     }
 
-    /** Unix time of the session's last write, 0 where the client tells none. */
-    public long writtenAtMillis() {
-        return writtenAtMillis;
+    /** Unix time of the session's last write, 0 if the client doesn't report one. */
+    public long lastWriteMillis() {
+        return lastWriteMillis;
     }
 
-    public boolean retry() {
-        return retry;
+    /** Whether the client repeats a request that failed before. */
+    public boolean isRetry() {
+        return isRetry;
     }
 
-    /** A number that stands for the first quoted value, the key. */
+    /** A hash of the session's key: the first string literal unless a classifier named another key; 0 if there is none. */
     public long sessionKey() {
         return sessionKey;
     }
 
-    /** Bytes of the whole message. */
+    /** Size of the whole message in bytes. */
     public int size() {
         return frame.length;
     }
 
-    /** The whole message with another wait, if it tells one; all its other bytes are the client's. */
-    public byte[] withWait(long millis) {
-        Field wait = fields.get("d");
-        if (wait == null) {
+    /** The whole message with another value of {@code d}, if it has that field; all other bytes stay as received. */
+    public byte[] withTimeout(long millis) {
+        Field timeout = fields.get("d");
+        if (timeout == null) {
             return frame;
         }
         byte[] digits = Long.toString(millis).getBytes(StandardCharsets.US_ASCII);
-        int size = frame.length - (wait.end() - wait.start()) + digits.length;
+        int size = frame.length - (timeout.end() - timeout.start()) + digits.length;
         ByteBuffer out = ByteBuffer.allocate(size);
         out.put(frame, 0, 1).putInt(size - 1);
-        out.put(frame, out.position(), wait.start() - out.position()).put(digits);
-        out.put(frame, wait.end(), frame.length - wait.end());
+        out.put(frame, out.position(), timeout.start() - out.position()).put(digits);
+        out.put(frame, timeout.end(), frame.length - timeout.end());
         return out.array();
     }
 
     private static long hash(byte[] bytes, int start, int end) {
         long hash = FNV_OFFSET;
-        for (int at = start; at < end; at++) {
-            hash = (hash ^ bytes[at] & 0xff) * FNV_PRIME;
+        for (int position = start; position < end; position++) {
+            hash = (hash ^ bytes[position] & 0xff) * FNV_PRIME;
         }
-        return hash >>> 1; // never negative: negative numbers have meanings of their own
+        return hash >>> 1; // never negative: the policy uses negative keys as special values
     }
 
     private static long hash(String text) {
@@ -302,9 +308,9 @@
         return hash(bytes, 0, bytes.length);
     }
 
-    private static boolean startsWith(byte[] bytes, int at, String text) {
+    private static boolean startsWith(byte[] bytes, int position, String text) {
         for (int i = 0; i < text.length(); i++) {
-            if (at + i >= bytes.length || bytes[at + i] != text.charAt(i)) {
+            if (position + i >= bytes.length || bytes[position + i] != text.charAt(i)) {
                 return false;
             }
         }
@@ -312,11 +318,11 @@
     }
 
     private static int skipSpace(byte[] bytes, int start, int end) {
-        int at = start;
-        while (at < end && isSpace(bytes[at])) {
-            at++;
+        int position = start;
+        while (position < end && isSpace(bytes[position])) {
+            position++;
         }
-        return at;
+        return position;
     }
 
     private static boolean isSpace(byte b) {
