--- a/router/src/test/java/ledgewall/pg/FrameReaderTest.java
+++ b/router/src/test/java/ledgewall/pg/FrameReaderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 class FrameReaderTest {
-    private static final int LONGEST = 4096;
+    private static final int MAX_LENGTH = 4096;
 
     private static List<Frame> read(FrameReader reader, byte[]... pieces) throws ProtocolException {
         List<Frame> frames = new ArrayList<>();
@@ -24,29 +24,29 @@
     }
 
     @Test
-    void messagesComeOutTheSameWhereverTheyAreCut() throws ProtocolException {
+    void splitsTheStreamIntoTheSameMessagesAtEveryPieceBoundary() throws ProtocolException {
         byte[] startup = Wire.startup("user", "u");
         byte[] query = Wire.query("SELECT 1");
-        byte[] end = Wire.message('X');
-        byte[] all = Wire.join(Wire.packet(80877103), startup, query, end);
+        byte[] terminate = Wire.message('X');
+        byte[] all = Wire.join(Wire.untypedPacket(80877103), startup, query, terminate);
         for (int cut = 0; cut <= all.length; cut++) {
             byte[] head = java.util.Arrays.copyOf(all, cut);
             byte[] tail = java.util.Arrays.copyOfRange(all, cut, all.length);
-            FrameReader reader = FrameReader.ofClient(LONGEST);
+            FrameReader reader = FrameReader.ofClient(MAX_LENGTH);
             List<Frame> frames = read(reader, head, tail);
             assertEquals(4, frames.size(), "cut at " + cut);
             assertArrayEquals(startup, frames.get(1).bytes());
             assertEquals('Q', frames.get(2).type());
             assertArrayEquals(query, frames.get(2).bytes());
             assertEquals('X', frames.get(3).type());
-            assertEquals(0, reader.held());
+            assertEquals(0, reader.bufferedBytes());
         }
     }
 
     @Test
-    void aByteAtATimeIsEnough() throws ProtocolException {
-        byte[] all = Wire.join(Wire.welcome(), Wire.row(new byte[900]), Wire.ready());
-        FrameReader reader = FrameReader.ofHost(LONGEST);
+    void readsMessagesThatArriveByteByByte() throws ProtocolException {
+        byte[] all = Wire.join(Wire.startupReply(), Wire.row(new byte[900]), Wire.ready());
+        FrameReader reader = FrameReader.ofHost(MAX_LENGTH);
         List<Frame> frames = new ArrayList<>();
         for (byte b : all) {
             reader.feed(ByteBuffer.wrap(new byte[] {b}), frames::add);
@@ -55,49 +55,49 @@
     }
 
     @Test
-    void lengthsThatCannotBeEndTheStream() {
+    void rejectsInvalidLengths() {
         assertThrows(ProtocolException.class,
-            () -> read(FrameReader.ofHost(LONGEST), Wire.join(new byte[] {'Q'}, Wire.int32(3))));
+            () -> read(FrameReader.ofHost(MAX_LENGTH), Wire.join(new byte[] {'Q'}, Wire.int32(3))));
         assertThrows(ProtocolException.class,
-            () -> read(FrameReader.ofHost(LONGEST), Wire.join(new byte[] {'Q'}, Wire.int32(-1))));
+            () -> read(FrameReader.ofHost(MAX_LENGTH), Wire.join(new byte[] {'Q'}, Wire.int32(-1))));
         assertThrows(ProtocolException.class,
-            () -> read(FrameReader.ofHost(LONGEST), Wire.join(new byte[] {'D'}, Wire.int32(LONGEST + 1))));
+            () -> read(FrameReader.ofHost(MAX_LENGTH), Wire.join(new byte[] {'D'}, Wire.int32(MAX_LENGTH + 1))));
         assertThrows(ProtocolException.class,
-            () -> read(FrameReader.ofClient(1 << 20), Wire.int32(10_001))); // before it has started
+            () -> read(FrameReader.ofClient(1 << 20), Wire.int32(10_001))); // above the limit before startup
     }
 
     @Test
-    void anAnnouncedLengthCostsNothingUntilItsBytesCome() throws ProtocolException {
+    void buffersOnlyReceivedBytesOfAnAnnouncedMessage() throws ProtocolException {
         FrameReader reader = FrameReader.ofClient(1 << 20);
         read(reader, Wire.startup("user", "u"), Wire.join(new byte[] {'Q'}, Wire.int32(1 << 20), new byte[10]));
-        assertEquals(15, reader.held());
+        assertEquals(15, reader.bufferedBytes());
     }
 
     @Test
-    void aTypeThatIsNoneIsMetAtItsHeader() throws ProtocolException {
-        FrameReader client = FrameReader.ofClient(LONGEST);
+    void rejectsAnUnknownOrUnexpectedTypeAtItsHeader() throws ProtocolException {
+        FrameReader client = FrameReader.ofClient(MAX_LENGTH);
         read(client, Wire.startup("user", "u"));
         assertThrows(ProtocolException.class, () -> read(client, Wire.join(new byte[] {'z'}, Wire.int32(100))));
-        FrameReader host = FrameReader.ofHost(LONGEST);
-        read(host, Wire.welcome(), Wire.description());
+        FrameReader host = FrameReader.ofHost(MAX_LENGTH);
+        read(host, Wire.startupReply(), Wire.rowDescription());
         assertThrows(ProtocolException.class, () -> read(host, Wire.join(new byte[] {'C'}, Wire.int32(20))));
     }
 
     @Test
-    void randomBytesEndInFramesOrInItsOwnException() {
+    void randomBytesYieldFramesOrAProtocolException() {
         Random random = new Random(5);
-        int refused = 0;
-        for (int round = 0; round < 2_000; round++) {
-            byte[] noise = new byte[random.nextInt(200)];
-            random.nextBytes(noise);
-            FrameReader reader = round % 2 == 0 ? FrameReader.ofClient(LONGEST) : FrameReader.ofHost(LONGEST);
+        int rejected = 0;
+        for (int iteration = 0; iteration < 2_000; iteration++) {
+            byte[] randomBytes = new byte[random.nextInt(200)];
+            random.nextBytes(randomBytes);
+            FrameReader reader = iteration % 2 == 0 ? FrameReader.ofClient(MAX_LENGTH) : FrameReader.ofHost(MAX_LENGTH);
             try {
-                read(reader, noise);
-                assertTrue(reader.held() <= LONGEST);
+                read(reader, randomBytes);
+                assertTrue(reader.bufferedBytes() <= MAX_LENGTH);
             } catch (ProtocolException e) {
-                refused++;
+                rejected++;
             }
         }
-        assertTrue(refused > 1_000, "most noise announces lengths out of bounds: " + refused);
+        assertTrue(rejected > 1_000, "most random input announces a length out of bounds, rejected: " + rejected);
     }
 }
--- a/router/src/test/java/ledgewall/pg/ReplyTest.java
+++ b/router/src/test/java/ledgewall/pg/ReplyTest.java
@@ -19,7 +19,7 @@
     private static Reply reply(byte[]... parts) throws ProtocolException {
         List<Frame> frames = new ArrayList<>();
         FrameReader reader = FrameReader.ofHost(100_000);
-        reader.feed(ByteBuffer.wrap(Wire.welcome()), greeting -> { });
+        reader.feed(ByteBuffer.wrap(Wire.startupReply()), frame -> { });
         reader.feed(ByteBuffer.wrap(Wire.join(parts)), frames::add);
         Reply reply = new Reply();
         for (Frame frame : frames) {
@@ -29,77 +29,77 @@
     }
 
     @Test
-    void aRowIsPassedOnAsItCameWithoutWhatStandsBesideIt() throws ProtocolException {
-        Reply reply = reply(Wire.set("mode", "read-only"), Wire.row(VALUE), Wire.message('N', Wire.text("Sn"), new byte[1]),
-            Wire.set("wal_time", "7"), Wire.ready());
-        assertTrue(reply.served() && reply.ready());
-        assertArrayEquals(Wire.row(VALUE), reply.answer());
+    void keepsTheResultUnchangedWithoutNoticesAndParameters() throws ProtocolException {
+        Reply reply = reply(Wire.param("mode", "read-only"), Wire.row(VALUE), Wire.message('N', Wire.text("Sn"), new byte[1]),
+            Wire.param("wal_time", "7"), Wire.ready());
+        assertTrue(reply.succeeded() && reply.ready());
+        assertArrayEquals(Wire.row(VALUE), reply.resultMessages());
         assertEquals("read-only", reply.parameter("mode"));
         assertEquals("7", reply.parameter("wal_time"));
     }
 
     @Test
-    void aRowWithoutItsCompletionIsNoAnswer() throws ProtocolException {
-        assertFalse(reply(Wire.description(), Wire.dataRow(VALUE)).served());
+    void aRowWithoutCommandCompleteIsNotSuccess() throws ProtocolException {
+        assertFalse(reply(Wire.rowDescription(), Wire.dataRow(VALUE)).succeeded());
     }
 
     @Test
-    void anErrorTellsItsCode() throws ProtocolException {
+    void reportsTheSqlStateOfAnError() throws ProtocolException {
         assertEquals("25006", reply(Wire.error("25006"), Wire.ready()).sqlState());
-        assertEquals("XX000", reply(Wire.description(), Wire.error("XX000")).sqlState());
+        assertEquals("XX000", reply(Wire.rowDescription(), Wire.error("XX000")).sqlState());
     }
 
     @Test
-    void whatIsNoAnswerToOneQueryEndsTheConnection() {
-        byte[][] wrong = {
-            Wire.ready(), Wire.join(Wire.description(), Wire.description()), Wire.dataRow(VALUE),
-            Wire.join(Wire.description(), Wire.dataRow(VALUE), Wire.dataRow(VALUE)),
-            Wire.join(Wire.description(), Wire.message('C', Wire.text("SELECT 0"))),
-            Wire.join(Wire.description(), Wire.message('D', Wire.int16(2), Wire.int32(0), Wire.int32(0))),
-            Wire.join(Wire.description(), Wire.message('D', Wire.int16(1), Wire.int32(9), new byte[3])),
-            Wire.join(Wire.description(), Wire.message('D', Wire.int16(1), Wire.int32(-5))),
-            Wire.join(Wire.description(), Wire.dataRow(new byte[Reply.LONGEST_VALUE + 1])),
+    void rejectsWhatIsNotAReplyToOneQuery() {
+        byte[][] invalidReplies = {
+            Wire.ready(), Wire.join(Wire.rowDescription(), Wire.rowDescription()), Wire.dataRow(VALUE),
+            Wire.join(Wire.rowDescription(), Wire.dataRow(VALUE), Wire.dataRow(VALUE)),
+            Wire.join(Wire.rowDescription(), Wire.message('C', Wire.text("SELECT 0"))),
+            Wire.join(Wire.rowDescription(), Wire.message('D', Wire.int16(2), Wire.int32(0), Wire.int32(0))),
+            Wire.join(Wire.rowDescription(), Wire.message('D', Wire.int16(1), Wire.int32(9), new byte[3])),
+            Wire.join(Wire.rowDescription(), Wire.message('D', Wire.int16(1), Wire.int32(-5))),
+            Wire.join(Wire.rowDescription(), Wire.dataRow(new byte[Reply.MAX_VALUE_BYTES + 1])),
             Wire.message('T', Wire.int16(2)), Wire.message('T', Wire.int16(1), Wire.text("data")),
             Wire.message('I'), Wire.message('G'), Wire.message('E', new byte[1]), Wire.message('S', new byte[] {'a'}),
             Wire.join(Wire.row(VALUE), Wire.error("XX000"))};
-        for (byte[] bytes : wrong) {
+        for (byte[] bytes : invalidReplies) {
             assertThrows(ProtocolException.class, () -> reply(bytes));
         }
     }
 
     @Test
-    void theLongestValueFits() throws ProtocolException {
-        assertTrue(reply(Wire.row(new byte[Reply.LONGEST_VALUE])).served());
+    void acceptsAValueOfTheMaximumSize() throws ProtocolException {
+        assertTrue(reply(Wire.row(new byte[Reply.MAX_VALUE_BYTES])).succeeded());
     }
 
     @Test
-    void randomMessagesEndInAnswersOrInItsOwnException() {
+    void randomMessagesYieldAReplyOrAProtocolException() {
         Random random = new Random(11);
         String types = "TDCESNIZ";
-        int broken = 0;
-        for (int round = 0; round < 5_000; round++) {
+        int rejected = 0;
+        for (int iteration = 0; iteration < 5_000; iteration++) {
             byte[] body = new byte[random.nextInt(12)];
             random.nextBytes(body);
             try {
-                reply(Wire.description(), Wire.message(types.charAt(random.nextInt(types.length())), body));
+                reply(Wire.rowDescription(), Wire.message(types.charAt(random.nextInt(types.length())), body));
             } catch (ProtocolException e) {
-                broken++;
+                rejected++;
             }
         }
-        assertTrue(broken > 2_000, "most noise is no answer: " + broken);
+        assertTrue(rejected > 2_000, "most random messages are no valid reply, rejected: " + rejected);
     }
 
     @Test
-    void aGreetingIsReadyOrTurnsAway() throws ProtocolException {
-        Greeting greeting = new Greeting();
-        greeting.accept(new Frame('R', Wire.message('R', Wire.int32(0))));
-        assertFalse(greeting.ready());
-        greeting.accept(new Frame('Z', Wire.ready()));
-        assertTrue(greeting.ready());
-        Greeting full = new Greeting();
-        full.accept(new Frame('E', Wire.error("53300")));
-        assertEquals("53300", full.sqlState());
-        assertThrows(ProtocolException.class, () -> new Greeting().accept(new Frame('R', Wire.message('R', Wire.int32(5)))));
-        assertThrows(ProtocolException.class, () -> new Greeting().accept(new Frame('T', Wire.description())));
+    void aStartupReplyEndsInReadyForQueryOrAnError() throws ProtocolException {
+        StartupReply startupReply = new StartupReply();
+        startupReply.accept(new Frame('R', Wire.message('R', Wire.int32(0))));
+        assertFalse(startupReply.ready());
+        startupReply.accept(new Frame('Z', Wire.ready()));
+        assertTrue(startupReply.ready());
+        StartupReply rejection = new StartupReply();
+        rejection.accept(new Frame('E', Wire.error("53300")));
+        assertEquals("53300", rejection.sqlState());
+        assertThrows(ProtocolException.class, () -> new StartupReply().accept(new Frame('R', Wire.message('R', Wire.int32(5)))));
+        assertThrows(ProtocolException.class, () -> new StartupReply().accept(new Frame('T', Wire.rowDescription())));
     }
 }
--- a/router/src/test/java/ledgewall/pg/SqlSummaryTest.java
+++ b/router/src/test/java/ledgewall/pg/SqlSummaryTest.java
@@ -27,38 +27,38 @@
         "SELECT * FROM (SELECT 1 FROM inner_one) x ~ SELECT ~ inner_one ~ false",
         "UPDATE ONLY bays SET free = true ~ UPDATE ~ bays ~ true", "TABLE bays ~ TABLE ~ bays ~ false",
         "CALL book(7) ~ CALL ~ - ~ true"})
-    void aStatementSaysWhatItIs(String sql, String keyword, String tables, boolean writes) {
+    void derivesKeywordTablesAndWrites(String sql, String keyword, String tables, boolean writes) {
         SqlSummary summary = SqlSummary.ofText(sql);
         assertEquals(keyword, summary.keyword());
         assertEquals(tables.equals("-") ? "" : tables, String.join(",", summary.tables()));
         assertEquals(writes, summary.writes(), sql);
     }
 
-    /** What hides a second statement from a plainer scanner must not pass for one. */
+    /** Quotes, comments and escapes that hide a second statement from a simpler scanner must not make the text acceptable. */
     @ParameterizedTest
     @ValueSource(strings = {"SELECT 1; DELETE FROM bays", "SELECT $$'$$; DELETE FROM bays; SELECT $$'$$", "SELECT 'a",
         "SELECT \"a",
         "SELECT /* /* */ 1", "SELECT $x$ abc $y$", "SELECT 1\0", "SELECT '\\'; DELETE FROM bays --'"})
-    void whatIsNoOneStatementIsNone(String sql) {
+    void rejectsTextThatIsNotExactlyOneStatement(String sql) {
         assertNull(SqlSummary.ofText(sql));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"BEGIN", "begin;", "SET search_path = x", "PREPARE p AS SELECT 1", "LISTEN a", "COPY t FROM stdin",
         "DECLARE c CURSOR FOR SELECT 1", "-- x\nROLLBACK"})
-    void whatLastsOnAConnectionIsTold(String sql) {
+    void detectsStatementsThatNeedASession(String sql) {
         assertTrue(SqlSummary.ofText(sql).needsSession(), sql);
     }
 
     @Test
-    void noBytesMakeItFail() {
+    void randomTextCausesNoUnexpectedException() {
         SplittableRandom random = new SplittableRandom(5);
-        String signs = "'\"$/*-;aE.( \\\n1\0é";
+        String alphabet = "'\"$/*-;aE.( \\\n1\0é";
         int accepted = 0;
         for (int i = 0; i < 50_000; i++) {
             StringBuilder sql = new StringBuilder("SELECT ");
             for (int j = random.nextInt(20); j > 0; j--) {
-                sql.append(signs.charAt(random.nextInt(signs.length())));
+                sql.append(alphabet.charAt(random.nextInt(alphabet.length())));
             }
             SqlSummary summary = SqlSummary.ofText(sql.toString());
             if (summary != null) {
--- a/router/src/test/java/ledgewall/pg/StatementTest.java
+++ b/router/src/test/java/ledgewall/pg/StatementTest.java
@@ -15,41 +15,41 @@
 class StatementTest {
     private static final String FIELDS = "id=9b1f,c=basket,t=acme,d=480,cluster=2";
 
-    private static Statement parse(String sql) throws Statement.Malformed {
+    private static Statement parse(String sql) throws Statement.MalformedException {
         return Statement.parse(Wire.query(sql));
     }
 
     @Test
-    void fieldsAreReadInAnyOrderAndUnknownOnesPassedOver() throws Statement.Malformed {
+    void readsFieldsInAnyOrderAndIgnoresUnknownOnes() throws Statement.MalformedException {
         Statement statement = parse("  /*new=7,cluster=12, after=1767225600123 ,r=1,d=5,flag,c=put,id=x*/SELECT 1");
         assertEquals("put", statement.className());
         assertEquals("", statement.tenant());
-        assertEquals(5, statement.waitMillis());
+        assertEquals(5, statement.timeoutMillis());
         assertEquals(12, statement.group());
-        assertEquals(1_767_225_600_123L, statement.writtenAtMillis());
-        assertTrue(statement.retry());
-        assertFalse(parse("/* " + FIELDS + " */ SELECT 1").retry());
+        assertEquals(1_767_225_600_123L, statement.lastWriteMillis());
+        assertTrue(statement.isRetry());
+        assertFalse(parse("/* " + FIELDS + " */ SELECT 1").isRetry());
         assertEquals("acme", parse("/* " + FIELDS + " */ SELECT 1").tenant());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 48, 479, 480, 12_345, 999_999_999L})
-    void onlyTheDigitsOfTheWaitAreWrittenAnew(long wait) throws Statement.Malformed {
+    void rewritesOnlyTheDigitsOfTheTimeout(long timeoutMillis) throws Statement.MalformedException {
         String tail = " */ INSERT INTO facts (code, data) VALUES ('it''s d=480 /* no */ ; -- x', E'a\\'b;') RETURNING data";
         String sql = "/* id=9b1f,d1=3,c=basket,t=d=4,d=480,cluster=2";
-        byte[] written = parse(sql + tail).withWait(wait);
-        assertArrayEquals(Wire.query(sql.replace("d=480", "d=" + wait) + tail), written);
+        byte[] rewritten = parse(sql + tail).withTimeout(timeoutMillis);
+        assertArrayEquals(Wire.query(sql.replace("d=480", "d=" + timeoutMillis) + tail), rewritten);
     }
 
     @Test
-    void aValueOf64KiBGoesOnToTheByte() throws Statement.Malformed {
+    void keepsAValueOf64KiBUnchanged() throws Statement.MalformedException {
         String sql = "/* " + FIELDS + " */ INSERT INTO facts (code, data) VALUES ('k', '\\x" + "9f".repeat(65_536)
             + "') RETURNING data";
-        assertArrayEquals(Wire.query(sql.replace("d=480", "d=1000")), parse(sql).withWait(1_000));
+        assertArrayEquals(Wire.query(sql.replace("d=480", "d=1000")), parse(sql).withTimeout(1_000));
     }
 
     @Test
-    void theFirstQuotedValueIsTheKey() throws Statement.Malformed {
+    void theSessionKeyIsTheFirstStringLiteral() throws Statement.MalformedException {
         String head = "/* " + FIELDS + " */ SELECT data FROM \"odd'name\" WHERE code = ";
         long key = parse(head + "'k1'").sessionKey();
         assertEquals(key, parse("/* " + FIELDS + " */ INSERT INTO f (c, d) VALUES ('k1', 'other')").sessionKey());
@@ -70,20 +70,20 @@
         "/* id=1\u0001,c=a,d=1,cluster=1 */ SELECT 1", "/* id=1,c=a,t=\u00e9,d=1,cluster=1 */ SELECT 1",
         "/* id=1,c=a,d=1,cluster=1 */ SELECT \u0000 1", "/* id=1,c=a,d=1,cluster=1 */ SELECT 'a\u0000b'",
         "/* id=11111111111111111111111111111111111111111111111111111111111111111,c=a,d=1,cluster=1 */ SELECT 1"})
-    void whatIsNoRequestIsToldApart(String sql) {
-        assertThrows(Statement.Malformed.class, () -> parse(sql));
+    void rejectsMalformedStatements(String sql) {
+        assertThrows(Statement.MalformedException.class, () -> parse(sql));
     }
 
     @Test
-    void oneStatementMayEndInASemicolonAndComments() throws Statement.Malformed {
-        assertEquals(480, parse("/* " + FIELDS + " */ SELECT ';' ; -- ; end\n /* ; */ ").waitMillis());
+    void acceptsOneStatementFollowedByASemicolonAndComments() throws Statement.MalformedException {
+        assertEquals(480, parse("/* " + FIELDS + " */ SELECT ';' ; -- ; end\n /* ; */ ").timeoutMillis());
     }
 
     @Test
-    void emptyQueriesAreToldApart() throws ProtocolException {
+    void recognizesEmptyQueries() throws ProtocolException {
         for (String sql : new String[] {"", " ", ";", " ; ;\n"}) {
             byte[] bytes = Wire.query(sql);
-            assertEquals(new ClientMessage.EmptyQuery(), ClientMessage.of(new Frame('Q', bytes)), sql);
+            assertEquals(new ClientMessage.EmptyQuery(), ClientMessage.parse(new Frame('Q', bytes)), sql);
         }
     }
 }
--- a/router/src/test/java/ledgewall/standin/Client.java
+++ b/router/src/test/java/ledgewall/standin/Client.java
@@ -7,30 +7,30 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client of the router, on a blocking socket. */
+/** A PostgreSQL client of the router, on a blocking socket. */
 public final class Client implements AutoCloseable {
-    private static final int PATIENCE_MS = 20_000;
+    private static final int READ_TIMEOUT_MS = 20_000;
 
     private final Socket socket = new Socket();
     private final DataInputStream in;
 
     public Client(InetSocketAddress router) throws IOException {
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.connect(router);
         in = new DataInputStream(socket.getInputStream());
     }
 
-    /** A client that has been welcomed. */
-    public static Client started(InetSocketAddress router) throws IOException {
+    /** Connects and completes the startup. */
+    public static Client connect(InetSocketAddress router) throws IOException {
         Client client = new Client(router);
         client.send(Wire.startup("user", "u", "database", "d"));
-        client.untilReady();
+        client.readUntilReady();
         return client;
     }
 
-    /** How long a read waits from now on. */
-    public void patience(long millis) throws IOException {
+    /** Sets how long each later read may block. */
+    public void setReadTimeout(long millis) throws IOException {
         socket.setSoTimeout((int) millis);
     }
 
@@ -39,7 +39,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** The next message, or null at the end. */
+    /** The next message, or null at the end of the stream. */
     public Message read() throws IOException {
         return Message.read(in, true);
     }
@@ -48,8 +48,8 @@
         return in.read();
     }
 
-    /** All messages up to ReadyForQuery, without it. */
-    public List<Message> untilReady() throws IOException {
+    /** Reads all messages up to ReadyForQuery, which is left out. */
+    public List<Message> readUntilReady() throws IOException {
         List<Message> messages = new ArrayList<>();
         for (Message message = read(); message.type() != 'Z'; message = read()) {
             messages.add(message);
@@ -57,29 +57,32 @@
         return messages;
     }
 
-    /** The types of all messages of a query's answer, past a welcome that comes first; empty where the router ends before. */
-    public String typesOfAnswer() throws IOException {
+    /**
+     * Reads a query's reply, which may follow the reply to a startup message, and returns the types of its messages; empty if
+     * the router closes the connection before the reply is complete.
+     */
+    public String readReplyTypes() throws IOException {
         StringBuilder types = new StringBuilder();
-        boolean answer = false;
+        boolean inReply = false;
         for (Message message = read(); message != null; message = read()) {
-            answer |= "TDCEI".indexOf(message.type()) >= 0;
-            types.append(answer ? "" + message.type() : "");
-            if (answer && (message.type() == 'Z' || message.type() == 'E' && "FATAL".equals(message.field('S')))) {
+            inReply |= "TDCEI".indexOf(message.type()) >= 0;
+            types.append(inReply ? "" + message.type() : "");
+            if (inReply && (message.type() == 'Z' || message.type() == 'E' && "FATAL".equals(message.field('S')))) {
                 return types.toString();
             }
         }
         return "";
     }
 
-    /** The types of all messages up to ReadyForQuery, without it. */
-    public String types() throws IOException {
+    /** Reads all messages up to ReadyForQuery, which is left out, and returns their types. */
+    public String readTypesUntilReady() throws IOException {
         StringBuilder types = new StringBuilder();
-        untilReady().forEach(message -> types.append(message.type()));
+        readUntilReady().forEach(message -> types.append(message.type()));
         return types.toString();
     }
 
-    /** Whether the router has ended the connection, possibly by a reset. */
-    public boolean atEnd() throws IOException {
+    /** Waits for the next byte; true if the router has closed or reset the connection instead. */
+    public boolean endOfStream() throws IOException {
         try {
             return in.read() < 0;
         } catch (java.net.SocketException e) {
--- a/router/src/test/java/ledgewall/standin/ScriptedPolicy.java
+++ b/router/src/test/java/ledgewall/standin/ScriptedPolicy.java
@@ -8,13 +8,14 @@
 import java.util.function.Function;
 import ledgewall.RoutingPolicy;
 
-/** A policy that a test writes: it answers events as told, takes commands, and keeps all that it heard. */
+/** A policy for tests: it answers events by a script, returns actions that the test submits, and records all events. */
 public final class ScriptedPolicy implements RoutingPolicy {
-    private static final long LOOKS_EVERY = 2_000_000L;
-    private static final long PATIENCE_S = 20;
+    /** How often the router is to ask for submitted actions. */
+    private static final long POLL_INTERVAL_NS = 2_000_000L;
+    private static final long EVENT_TIMEOUT_S = 20;
 
-    private final BlockingQueue<Event> heard = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Action> commands = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Event> received = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Action> submitted = new LinkedBlockingQueue<>();
     private final Function<Event, List<Action>> script;
 
     public ScriptedPolicy(Function<Event, List<Action>> script) {
@@ -22,12 +23,12 @@
     }
 
     /** Sends every request to one member. */
-    public static ScriptedPolicy sendTo(String member, long timeout) {
+    public static ScriptedPolicy sendTo(String member, long timeoutNs) {
         return new ScriptedPolicy(event -> event instanceof Arrival arrival
-            ? List.of(new Send(arrival.request(), member, timeout)) : List.of());
+            ? List.of(new Send(arrival.request(), member, timeoutNs)) : List.of());
     }
 
-    /** Does nothing unless commanded. */
+    /** Returns no actions but submitted ones. */
     public static ScriptedPolicy idle() {
         return new ScriptedPolicy(event -> List.of());
     }
@@ -35,41 +36,41 @@
     @Override
     public List<Action> decide(long now, List<Event> events) {
         List<Action> actions = new ArrayList<>();
-        boolean look = false;
+        boolean setTimer = false;
         for (Event event : events) {
-            look |= event instanceof TimerDue || event instanceof MemberList list && list.kind() == ListKind.REMEMBERED;
+            setTimer |= event instanceof TimerDue || event instanceof MemberList list && list.kind() == ListKind.REMEMBERED;
             if (!(event instanceof TimerDue)) {
-                heard.add(event);
+                received.add(event);
                 actions.addAll(script.apply(event));
             }
         }
-        commands.drainTo(actions);
-        if (look) {
-            actions.add(new SetTimer(now + LOOKS_EVERY, 1));
+        submitted.drainTo(actions);
+        if (setTimer) {
+            actions.add(new SetTimer(now + POLL_INTERVAL_NS, 1));
         }
         return actions;
     }
 
-    /** Has an action carried out soon. */
-    public void command(Action... actions) {
-        commands.addAll(List.of(actions));
+    /** Returns these actions from the next call of {@link #decide}. */
+    public void submit(Action... actions) {
+        submitted.addAll(List.of(actions));
     }
 
-    /** The next event of a kind; others before it are passed over. */
-    public <T extends Event> T next(Class<T> kind) throws InterruptedException {
+    /** Waits for the next event of a type and discards those before it. */
+    public <T extends Event> T next(Class<T> type) throws InterruptedException {
         while (true) {
-            Event event = heard.poll(PATIENCE_S, TimeUnit.SECONDS);
+            Event event = received.poll(EVENT_TIMEOUT_S, TimeUnit.SECONDS);
             if (event == null) {
-                throw new AssertionError("no " + kind.getSimpleName() + " came");
+                throw new AssertionError("no " + type.getSimpleName() + " event arrived");
             }
-            if (kind.isInstance(event)) {
-                return kind.cast(event);
+            if (type.isInstance(event)) {
+                return type.cast(event);
             }
         }
     }
 
-    /** Whether any event of a kind has come that was not taken. */
-    public boolean hasHeard(Class<? extends Event> kind) {
-        return heard.stream().anyMatch(kind::isInstance);
+    /** Whether an event of a type has arrived that {@link #next} has not returned or discarded. */
+    public boolean hasReceived(Class<? extends Event> type) {
+        return received.stream().anyMatch(type::isInstance);
     }
 }
--- a/router/src/test/java/ledgewall/standin/StubHosts.java
+++ b/router/src/test/java/ledgewall/standin/StubHosts.java
@@ -12,44 +12,44 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Any number of database hosts of one role behind one loopback port, played by one thread. */
-public final class HostFarm implements AutoCloseable {
+/** Stands in for any number of database hosts of one role, with one loopback port and one thread. */
+public final class StubHosts implements AutoCloseable {
     private static final int BACKLOG = 4_096;
-    private static final int BUFFER = 64 * 1024;
+    private static final int BUFFER_BYTES = 64 * 1024;
     private static final byte[] VALUE = "v".getBytes(StandardCharsets.UTF_8);
 
     private final Selector selector = Selector.open();
     private final ServerSocketChannel server = ServerSocketChannel.open();
     private final boolean primary;
-    private final AtomicInteger connections = new AtomicInteger();
-    private final AtomicInteger open = new AtomicInteger();
-    private final AtomicLong probes = new AtomicLong();
-    private final AtomicLong requests = new AtomicLong();
-    private volatile Mood mood = Mood.WELL;
-
-    /** What hosts do with connections and queries that come now. */
-    public enum Mood {
-        WELL,
-        /** Connections are accepted, and nothing is said. */
-        HANGS,
-        /** Each query, and each new connection, is reset. */
-        RESETS,
-        /** Connections are refused with the code of too many. */
-        FULL
-    }
-
-    /** What one connection has sent and not been answered. */
-    private static final class Conversation {
-        private final ByteBuffer in = ByteBuffer.allocate(BUFFER);
+    private final AtomicInteger acceptedConnections = new AtomicInteger();
+    private final AtomicInteger openConnections = new AtomicInteger();
+    private final AtomicLong probeCount = new AtomicLong();
+    private final AtomicLong requestCount = new AtomicLong();
+    private volatile Behavior behavior = Behavior.HEALTHY;
+
+    /** How hosts treat connections and queries from now on. */
+    public enum Behavior {
+        HEALTHY,
+        /** Connections are accepted, but no message is answered. */
+        UNRESPONSIVE,
+        /** The connection is reset at each message, startup messages included. */
+        RESETTING,
+        /** Startup messages are answered with SQLSTATE 53300, too many connections. */
+        REFUSING
+    }
+
+    /** A connection's unanswered input, and whether its startup message has been answered. */
+    private static final class ConnectionState {
+        private final ByteBuffer in = ByteBuffer.allocate(BUFFER_BYTES);
         private boolean started;
     }
 
-    public HostFarm(boolean primary) throws IOException {
+    public StubHosts(boolean primary) throws IOException {
         this.primary = primary;
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
         server.configureBlocking(false);
         server.register(selector, SelectionKey.OP_ACCEPT);
-        Thread thread = new Thread(this::run, "host-farm");
+        Thread thread = new Thread(this::run, "stub-hosts");
         thread.setDaemon(true);
         thread.start();
     }
@@ -58,24 +58,28 @@
         return "127.0.0.1:" + server.socket().getLocalPort();
     }
 
-    public void mood(Mood now) {
-        mood = now;
+    public void behavior(Behavior newBehavior) {
+        behavior = newBehavior;
     }
 
-    public int connections() {
-        return connections.get();
+    /** How many connections have been accepted so far. */
+    public int acceptedConnections() {
+        return acceptedConnections.get();
     }
 
-    public int open() {
-        return open.get();
+    /** How many connections are open. */
+    public int openConnections() {
+        return openConnections.get();
     }
 
-    public long probes() {
-        return probes.get();
+    /** How many probes have been answered. */
+    public long probeCount() {
+        return probeCount.get();
     }
 
-    public long requests() {
-        return requests.get();
+    /** How many queries other than probes have been answered. */
+    public long requestCount() {
+        return requestCount.get();
     }
 
     private void run() {
@@ -84,7 +88,7 @@
                 selector.select(this::serve);
             }
         } catch (IOException | java.nio.channels.ClosedSelectorException e) {
-            // closed at the end of a test
+            // closed at the end of the test
         }
     }
 
@@ -99,7 +103,7 @@
                 read(key);
             }
         } catch (IOException e) {
-            end(key);
+            closeConnection(key);
         }
     }
 
@@ -107,53 +111,54 @@
         for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
             channel.configureBlocking(false);
             channel.socket().setTcpNoDelay(true);
-            channel.register(selector, SelectionKey.OP_READ, new Conversation());
-            connections.incrementAndGet();
-            open.incrementAndGet();
+            channel.register(selector, SelectionKey.OP_READ, new ConnectionState());
+            acceptedConnections.incrementAndGet();
+            openConnections.incrementAndGet();
         }
     }
 
-    private void end(SelectionKey key) {
+    private void closeConnection(SelectionKey key) {
         key.cancel();
-        open.decrementAndGet();
+        openConnections.decrementAndGet();
         try {
             key.channel().close();
         } catch (IOException e) {
-            // it has ended either way
+            // nothing is left to release
         }
     }
 
     private void read(SelectionKey key) throws IOException {
-        Conversation conversation = (Conversation) key.attachment();
+        ConnectionState state = (ConnectionState) key.attachment();
         SocketChannel channel = (SocketChannel) key.channel();
-        if (channel.read(conversation.in) < 0) {
-            end(key);
+        if (channel.read(state.in) < 0) {
+            closeConnection(key);
             return;
         }
-        conversation.in.flip();
-        while (answer(conversation, channel)) {
+        state.in.flip();
+        while (answer(state, channel)) {
             continue;
         }
-        conversation.in.compact();
+        state.in.compact();
     }
 
-    /** Answers the next whole message; false if there is none. */
-    private boolean answer(Conversation conversation, SocketChannel channel) throws IOException {
-        ByteBuffer in = conversation.in;
-        int header = conversation.started ? 1 : 0;
-        if (in.remaining() < header + Integer.BYTES || in.remaining() < header + in.getInt(in.position() + header)) {
+    /** Answers the next complete message; false if there is none. */
+    private boolean answer(ConnectionState state, SocketChannel channel) throws IOException {
+        ByteBuffer in = state.in;
+        int lengthOffset = state.started ? 1 : 0;
+        if (in.remaining() < lengthOffset + Integer.BYTES
+                || in.remaining() < lengthOffset + in.getInt(in.position() + lengthOffset)) {
             return false;
         }
-        byte[] message = new byte[header + in.getInt(in.position() + header)];
+        byte[] message = new byte[lengthOffset + in.getInt(in.position() + lengthOffset)];
         in.get(message);
-        if (mood == Mood.RESETS) {
+        if (behavior == Behavior.RESETTING) {
             channel.socket().setSoLinger(true, 0);
             throw new IOException("reset");
         }
-        byte[] greeting = mood == Mood.FULL ? Wire.error("53300") : Wire.welcome();
-        byte[] reply = conversation.started ? reply(message) : greeting;
-        conversation.started = true;
-        if (mood != Mood.HANGS && reply.length > 0) {
+        byte[] startupReply = behavior == Behavior.REFUSING ? Wire.error("53300") : Wire.startupReply();
+        byte[] reply = state.started ? reply(message) : startupReply;
+        state.started = true;
+        if (behavior != Behavior.UNRESPONSIVE && reply.length > 0) {
             channel.write(ByteBuffer.wrap(reply));
         }
         return true;
@@ -165,12 +170,12 @@
         }
         long now = System.currentTimeMillis();
         if (new String(message, StandardCharsets.UTF_8).contains("SHOW stats")) {
-            probes.incrementAndGet();
+            probeCount.incrementAndGet();
             String report = "x0=" + now / 1e3 + ",x1=" + (primary ? 1 : 0);
             return Wire.join(Wire.row(report.getBytes(StandardCharsets.UTF_8)), Wire.ready());
         }
-        requests.incrementAndGet();
-        return Wire.join(Wire.set("mode", primary ? "read-write" : "read-only"), Wire.set("wal_time", "" + now),
+        requestCount.incrementAndGet();
+        return Wire.join(Wire.param("mode", primary ? "read-write" : "read-only"), Wire.param("wal_time", "" + now),
             Wire.row(VALUE), Wire.ready());
     }
 
--- a/router/src/test/java/ledgewall/standin/StubServer.java
+++ b/router/src/test/java/ledgewall/standin/StubServer.java
@@ -9,18 +9,18 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Listens on a loopback port that the system chooses and gives each connection to a script. */
-public final class StandInServer implements AutoCloseable {
+/** Listens on a loopback port that the system chooses and runs a script for each connection. */
+public final class StubServer implements AutoCloseable {
     private final ServerSocket server;
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    private final AtomicInteger accepted = new AtomicInteger();
+    private final AtomicInteger acceptedCount = new AtomicInteger();
 
-    /** What the other side of a connection says and does; it ends the connection by returning. */
+    /** The server's side of a connection, which is closed when the script returns. */
     public interface Script {
-        void play(Connection connection) throws IOException;
+        void run(Connection connection) throws IOException;
     }
 
-    /** The stand-in's end of one connection; the first has the number 1. */
+    /** The server's end of one connection; the first accepted one has the number 1. */
     public static final class Connection {
         private final Socket socket;
         private final int number;
@@ -45,61 +45,61 @@
             socket.getOutputStream().flush();
         }
 
-        /** Reads the startup message and welcomes. */
-        public void welcome() throws IOException {
+        /** Reads the startup message and replies to it. */
+        public void acceptStartup() throws IOException {
             Message.read(in, false);
-            write(Wire.welcome());
+            write(Wire.startupReply());
         }
 
-        /** The text of the next query, or null at the connection's end. */
-        public String query() throws IOException {
+        /** Reads the next query; null at the end of the stream. */
+        public String readQuery() throws IOException {
             Message message = Message.read(in, true);
             return message == null ? null : message.text().substring(0, message.body().length - 1);
         }
 
-        /** Reads the head of an HTTP request, to its empty line. */
-        public String requestHead() throws IOException {
+        /** Reads the head of an HTTP request up to and including the empty line. */
+        public String readRequestHead() throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
                 int b = in.read();
                 if (b < 0) {
-                    throw new IOException("the request ended early");
+                    throw new IOException("the connection ended within the request's head");
                 }
                 head.append((char) b);
             }
             return head.toString();
         }
 
-        /** Reads on until the other side ends. */
-        public void awaitEnd() throws IOException {
+        /** Discards input until the other side closes the connection. */
+        public void awaitClose() throws IOException {
             while (in.read() >= 0) {
                 continue;
             }
         }
 
-        /** Ends the connection with a reset. */
+        /** Closes the connection with a TCP reset. */
         public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
     }
 
-    public StandInServer(Script script) throws IOException {
+    public StubServer(Script script) throws IOException {
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        daemon(() -> accept(script));
+        startDaemon(() -> accept(script));
     }
 
-    /** A host that welcomes everybody and answers each query by what the script says. */
-    public static StandInServer host(QueryScript script) throws IOException {
-        return new StandInServer(connection -> {
-            connection.welcome();
-            for (String sql = connection.query(); sql != null; sql = connection.query()) {
+    /** A host that accepts every startup message and runs the script for each query. */
+    public static StubServer host(QueryScript script) throws IOException {
+        return new StubServer(connection -> {
+            connection.acceptStartup();
+            for (String sql = connection.readQuery(); sql != null; sql = connection.readQuery()) {
                 script.answer(connection, sql);
             }
         });
     }
 
-    /** Answers one query. */
+    /** Replies to one query. */
     public interface QueryScript {
         void answer(Connection connection, String sql) throws IOException;
     }
@@ -110,24 +110,24 @@
                 Socket socket = server.accept();
                 socket.setTcpNoDelay(true);
                 sockets.add(socket);
-                Connection connection = new Connection(socket, accepted.incrementAndGet());
-                daemon(() -> play(script, connection));
+                Connection connection = new Connection(socket, acceptedCount.incrementAndGet());
+                startDaemon(() -> runScript(script, connection));
             }
         } catch (IOException e) {
-            // closed at the end of a test
+            // closed at the end of the test
         }
     }
 
-    private static void play(Script script, Connection connection) {
+    private static void runScript(Script script, Connection connection) {
         try (connection.socket) {
-            script.play(connection);
+            script.run(connection);
         } catch (IOException e) {
-            // the router ended the connection: what became of it is asserted from the router's side
+            // the router closed the connection: tests check the effect on the router's side
         }
     }
 
-    private static void daemon(Runnable task) {
-        Thread thread = new Thread(task, "stand-in");
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task, "stub-server");
         thread.setDaemon(true);
         thread.start();
     }
@@ -136,8 +136,8 @@
         return server.getInetAddress().getHostAddress() + ":" + server.getLocalPort();
     }
 
-    public int accepted() {
-        return accepted.get();
+    public int acceptedCount() {
+        return acceptedCount.get();
     }
 
     @Override
--- a/router/src/test/java/ledgewall/standin/Wire.java
+++ b/router/src/test/java/ledgewall/standin/Wire.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import ledgewall.pg.Frame;
 
-/** Messages of the protocol as the other side of a test says them, built apart from the code under test. */
+/** Builds protocol messages as clients and hosts send them, independently of the code under test. */
 public final class Wire {
     private Wire() {
     }
@@ -15,6 +15,7 @@
         return ByteBuffer.allocate(5 + body.length).put((byte) type).putInt(4 + body.length).put(body).array();
     }
 
+    /** A string that a zero byte ends. */
     public static byte[] text(String text) {
         return (text + "\0").getBytes(StandardCharsets.UTF_8);
     }
@@ -37,15 +38,15 @@
 
     public static byte[] startup(String... namesAndValues) {
         byte[] body = int32(3 << 16);
-        for (String word : namesAndValues) {
-            body = join(body, text(word));
+        for (String string : namesAndValues) {
+            body = join(body, text(string));
         }
         body = join(body, new byte[1]);
         return join(int32(4 + body.length), body);
     }
 
-    /** A packet without a type: a length and a code. */
-    public static byte[] packet(int code) {
+    /** A packet without a type byte, such as an encryption request: a length and a code. */
+    public static byte[] untypedPacket(int code) {
         return join(int32(8), int32(code));
     }
 
@@ -53,12 +54,12 @@
         return message('Q', text(sql));
     }
 
-    /** A row of one column in binary, whole. */
+    /** A whole result of one row with one binary column: RowDescription, DataRow and CommandComplete. */
     public static byte[] row(byte[] value) {
-        return join(description(), dataRow(value), message('C', text("SELECT 1")));
+        return join(rowDescription(), dataRow(value), message('C', text("SELECT 1")));
     }
 
-    public static byte[] description() {
+    public static byte[] rowDescription() {
         return message('T', int16(1), text("data"), int32(0), int16(0), int32(17), int16(-1), int32(-1), int16(1));
     }
 
@@ -66,23 +67,28 @@
         return message('D', int16(1), int32(value.length), value);
     }
 
+    /** An ErrorResponse with an SQLSTATE. */
     public static byte[] error(String code) {
         return message('E', text("SERROR"), text("C" + code), text("Mno"), new byte[1]);
     }
 
-    public static byte[] set(String name, String value) {
+    /** A ParameterStatus message. */
+    public static byte[] param(String name, String value) {
         return message('S', text(name), text(value));
     }
 
+    /** A ReadyForQuery message. */
     public static byte[] ready() {
         return message('Z', new byte[] {'I'});
     }
 
-    public static byte[] welcome() {
-        return join(message('R', int32(0)), set("server_version", "15.0"), ready());
+    /** A host's whole reply to a startup message. */
+    public static byte[] startupReply() {
+        return join(message('R', int32(0)), param("server_version", "15.0"), ready());
     }
 
-    public static Frame parameter(String name, String value) {
-        return new Frame('S', set(name, value));
+    /** A ParameterStatus message as a received frame. */
+    public static Frame paramFrame(String name, String value) {
+        return new Frame('S', param(name, value));
     }
 }
