--- a/router/src/main/java/ledgewall/ConfigurationWatcher.java
+++ b/router/src/main/java/ledgewall/ConfigurationWatcher.java
@@ -7,27 +7,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Looks at a file now and then and says when it is another than before. It compares what the file holds, since times
- * of change are too coarse to tell a file caught half written from the whole one; so it is for small files.
+ * Polls a file and reports when its contents change. It compares the contents, not the modification times, which are too
+ * coarse to tell a file read while half written from the complete one. It is therefore meant for small files.
  */
 final class ConfigurationWatcher {
-    /** A discovery that moves is gone at its old address after a second or more. */
-    static final long EVERY_MILLIS = 500;
+    /** Short enough to learn a new discovery address in time: the old one stops answering a second or more after a move. */
+    static final long INTERVAL_MILLIS = 500;
 
     private final Path file;
-    private final Runnable changed;
-    private byte[] last;
+    private final Runnable onChange;
+    private byte[] lastContents;
 
-    ConfigurationWatcher(Path file, Runnable changed) {
+    ConfigurationWatcher(Path file, Runnable onChange) {
         this.file = file;
-        this.changed = changed;
-        this.last = read();
+        this.onChange = onChange;
+        this.lastContents = read();
     }
 
-    /** Watches until the process ends. */
-    static void start(Path file, Runnable changed) {
-        ConfigurationWatcher watch = new ConfigurationWatcher(file, changed);
-        Thread thread = new Thread(watch::run, "ledgewall-file");
+    /** Polls the file on a daemon thread until the process ends. */
+    static void start(Path file, Runnable onChange) {
+        ConfigurationWatcher watcher = new ConfigurationWatcher(file, onChange);
+        Thread thread = new Thread(watcher::run, "ledgewall-file");
         thread.setDaemon(true);
         thread.start();
     }
@@ -35,20 +35,20 @@
     private void run() {
         try {
             while (true) {
-                TimeUnit.MILLISECONDS.sleep(EVERY_MILLIS);
-                look();
+                TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
+                check();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** One look: says so if the file holds something else than at the last one, or is missing since. */
-    void look() {
-        byte[] now = read();
-        if (!Arrays.equals(now, last)) {
-            last = now;
-            changed.run();
+    /** Reports a change if the contents differ from those of the last check, also if the file has disappeared or reappeared. */
+    void check() {
+        byte[] contents = read();
+        if (!Arrays.equals(contents, lastContents)) {
+            lastContents = contents;
+            onChange.run();
         }
     }
 
@@ -56,7 +56,7 @@
         try {
             return Files.readAllBytes(file);
         } catch (IOException e) {
-            return null; // missing, or not to be read: whoever is told finds out why
+            return null; // missing or unreadable: the reload reports why
         }
     }
 }
--- a/router/src/main/java/ledgewall/Main.java
+++ b/router/src/main/java/ledgewall/Main.java
@@ -5,7 +5,7 @@
 import ledgewall.settings.FormatException;
 import ledgewall.simhost.SimHost;
 
-/** The command line. */
+/** The commands of the router without the command-line tools: {@code serve} and {@code simhost}. */
 public final class Main {
     private static final int EXIT_FAILURE = 1;
     private static final int EXIT_USAGE = 2;
@@ -39,7 +39,7 @@
         } catch (FormatException e) {
             System.err.println("ledgewall: " + e.getMessage());
         } catch (IOException e) {
-            System.err.println("ledgewall: " + Service.reason(e));
+            System.err.println("ledgewall: " + Service.describe(e));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -48,7 +48,7 @@
 
     private static void serve(String config) throws IOException, InterruptedException {
         if (config == null) {
-            throw new FormatException("the environment names no ROUTER_CONFIG");
+            throw new FormatException("no CONFIG is given and ROUTER_CONFIG is not set");
         }
         new Service(Path.of(config)).run();
     }
--- a/router/src/main/java/ledgewall/Service.java
+++ b/router/src/main/java/ledgewall/Service.java
@@ -12,53 +12,57 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A router as a process: started from a file, reloaded and drained by signals, until it has closed. */
+/** Runs a router as a process: starts it from a configuration file, reloads it on SIGHUP and drains it on shutdown. */
 public final class Service {
     private static final Logger LOG = LoggerFactory.getLogger(Service.class);
 
-    private final Path file;
-    private final Path rules;
-    private final Classifiers classifiers;
+    private final Path configFile;
+    private final Path rulesFile;
+    private final ClassifierFactory classifierFactory;
     private Classifier classifier;
 
-    /** Where classifiers come from. */
-    public interface Classifiers {
+    /** Creates the classifier at the start and at each reload. */
+    public interface ClassifierFactory {
         /**
-         * Makes one anew, or says by a {@link FormatException} what is wrong with its settings.
+         * Creates a classifier, or throws a {@link FormatException} that says what is wrong with its settings.
          *
-         * @param before the one until now, or null
+         * @param previous the classifier in use until now, or null
          */
-        Classifier read(RouterConfig config, Classifier before);
+        Classifier create(RouterConfig config, Classifier previous);
     }
 
-    /** Runs a router that takes statements with the comment alone. */
-    public Service(Path file) {
-        this(file, null, null);
+    /** Runs a router that only accepts statements with a complete routing comment. */
+    public Service(Path configFile) {
+        this(configFile, null, null);
     }
 
-    /** Runs a router that takes other statements too, as the classifiers that come from the file {@code rules} say. */
-    public Service(Path file, Path rules, Classifiers classifiers) {
-        this.file = file;
-        this.rules = rules;
-        this.classifiers = classifiers;
+    /**
+     * Runs a router that also accepts other statements, which the factory's classifiers classify.
+     *
+     * @param rulesFile the file that the factory reads; without SIGHUP it is polled for changes
+     */
+    public Service(Path configFile, Path rulesFile, ClassifierFactory classifierFactory) {
+        this.configFile = configFile;
+        this.rulesFile = rulesFile;
+        this.classifierFactory = classifierFactory;
     }
 
     /** Returns once the router has closed. */
     public void run() throws IOException, InterruptedException {
-        RouterConfig first = RouterConfig.read(file);
-        classifier = classifiers == null ? null : classifiers.read(first, null);
-        CompletableFuture<Router> started = new CompletableFuture<>();
-        if (!SighupHandler.handle(() -> reload(started.join()))) {
-            LOG.warn("SIGHUP was ignored when this process started: {} is read every {} ms instead, and taken over as it"
-                + " changes", file, ConfigurationWatcher.EVERY_MILLIS);
-            ConfigurationWatcher.start(file, () -> reload(started.join()));
-            if (rules != null) {
-                ConfigurationWatcher.start(rules, () -> reload(started.join()));
+        RouterConfig config = RouterConfig.read(configFile);
+        classifier = classifierFactory == null ? null : classifierFactory.create(config, null);
+        CompletableFuture<Router> routerFuture = new CompletableFuture<>();
+        if (!SighupHandler.install(() -> reload(routerFuture.join()))) {
+            LOG.warn("SIGHUP was ignored when this process started: polling {} every {} ms instead and reloading it"
+                + " when it changes", configFile, ConfigurationWatcher.INTERVAL_MILLIS);
+            ConfigurationWatcher.start(configFile, () -> reload(routerFuture.join()));
+            if (rulesFile != null) {
+                ConfigurationWatcher.start(rulesFile, () -> reload(routerFuture.join()));
             }
         }
-        WarmUp.run(first, ReplicaRoutingPolicy::new);
-        Router router = Router.start(first, ReplicaRoutingPolicy::new, classifier);
-        started.complete(router);
+        WarmUp.run(config, ReplicaRoutingPolicy::new);
+        Router router = Router.start(config, ReplicaRoutingPolicy::new, classifier);
+        routerFuture.complete(router);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             router.drain();
             try {
@@ -70,20 +74,20 @@
         router.awaitClosed();
     }
 
-    /** A file that is missing, half written or wrong changes nothing; each file for itself. */
+    /** Reloads both files. One that is missing, half written or invalid leaves its settings as they are. */
     private synchronized void reload(Router router) {
-        RouterConfig changed = null;
+        RouterConfig newConfig = null;
         try {
-            changed = RouterConfig.read(file);
-            router.reload(changed);
+            newConfig = RouterConfig.read(configFile);
+            router.reload(newConfig);
         } catch (FormatException e) {
             LOG.warn("nothing changes: {}", e.getMessage());
         } catch (IOException e) {
-            LOG.warn("nothing changes: {}", reason(e));
+            LOG.warn("nothing changes: {}", describe(e));
         }
-        if (classifiers != null && changed != null) {
+        if (classifierFactory != null && newConfig != null) {
             try {
-                classifier = classifiers.read(changed, classifier);
+                classifier = classifierFactory.create(newConfig, classifier);
                 router.classifyBy(classifier);
                 LOG.info("the rules are taken over");
             } catch (FormatException e) {
@@ -92,8 +96,8 @@
         }
     }
 
-    /** A failure to read a file, in words. */
-    public static String reason(IOException e) {
+    /** A message for a failure to read a file. */
+    public static String describe(IOException e) {
         return e instanceof NoSuchFileException ? "no such file: " + e.getMessage() : e.toString();
     }
 }
--- a/router/src/main/java/ledgewall/SighupHandler.java
+++ b/router/src/main/java/ledgewall/SighupHandler.java
@@ -3,33 +3,33 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Hears of SIGHUP. Java's one way to do so is a class of the JDK's that the compiler warns of wherever it is named,
- * without a way to say that it is meant; so it is named in text here, and nowhere else.
+ * Handles SIGHUP. Java's only means for this is the JDK's class sun.misc.Signal, for which the compiler issues a warning that
+ * cannot be suppressed; so it is called by reflection here, and nowhere else.
  */
 final class SighupHandler {
     private SighupHandler() {
     }
 
     /**
-     * Has the action run, on a thread of its own, whenever the process is told to hang up; false if it cannot be heard. A
-     * process that was started with SIGHUP ignored, as nohup and some supervisors do, never hears of it: the JDK
-     * leaves such a signal ignored and says so only by the handler before.
+     * Runs the action on a thread of its own at each SIGHUP. Returns false if the process cannot receive SIGHUP: in a process
+     * that was started with it ignored, as by nohup and some supervisors, the JDK leaves the signal ignored and shows so only
+     * by the previous handler that it returns.
      */
-    static boolean handle(Runnable action) {
+    static boolean install(Runnable action) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object hears = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+            Object handlerProxy = Proxy.newProxyInstance(handlerClass.getClassLoader(), new Class<?>[] {handlerClass},
                 (proxy, method, arguments) -> {
                     if (method.getName().equals("handle")) {
                         action.run();
                         return null;
                     }
-                    return method.invoke(action, arguments); // what every object has: equals, hashCode, toString
+                    return method.invoke(action, arguments); // methods of Object: equals, hashCode, toString
                 });
-            Object before = signal.getMethod("handle", signal, handler)
-                .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), hears);
-            return !before.equals(handler.getField("SIG_IGN").get(null));
+            Object previous = signalClass.getMethod("handle", signalClass, handlerClass)
+                .invoke(null, signalClass.getConstructor(String.class).newInstance("HUP"), handlerProxy);
+            return !previous.equals(handlerClass.getField("SIG_IGN").get(null));
         } catch (ReflectiveOperationException | RuntimeException e) {
             return false;
         }
--- a/router/src/test/java/ledgewall/ConfigurationWatcherTest.java
+++ b/router/src/test/java/ledgewall/ConfigurationWatcherTest.java
@@ -12,25 +12,25 @@
 
 class ConfigurationWatcherTest {
     @Test
-    void eachOtherContentIsToldOnceWhateverItsTimeSays(@TempDir Path folder) throws IOException {
+    void reportsEachChangeOfContentsOnceEvenIfTheModificationTimeStays(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(file, "one");
         FileTime time = Files.getLastModifiedTime(file);
-        AtomicInteger told = new AtomicInteger();
-        ConfigurationWatcher watch = new ConfigurationWatcher(file, told::incrementAndGet);
-        watch.look();
-        assertEquals(0, told.get());
+        AtomicInteger changes = new AtomicInteger();
+        ConfigurationWatcher watcher = new ConfigurationWatcher(file, changes::incrementAndGet);
+        watcher.check();
+        assertEquals(0, changes.get());
         Files.writeString(file, "two");
         Files.setLastModifiedTime(file, time);
-        watch.look();
-        watch.look();
-        assertEquals(1, told.get());
+        watcher.check();
+        watcher.check();
+        assertEquals(1, changes.get());
         Files.delete(file);
-        watch.look();
-        watch.look();
-        assertEquals(2, told.get());
+        watcher.check();
+        watcher.check();
+        assertEquals(2, changes.get());
         Files.writeString(file, "two");
-        watch.look();
-        assertEquals(3, told.get());
+        watcher.check();
+        assertEquals(3, changes.get());
     }
 }
--- a/router/src/test/java/ledgewall/MainTest.java
+++ b/router/src/test/java/ledgewall/MainTest.java
@@ -13,30 +13,30 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class MainTest {
-    private static String complaint(int status, String... args) {
-        PrintStream before = System.err;
+    private static String stderrOf(int expectedStatus, String... args) {
+        PrintStream original = System.err;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         System.setErr(new PrintStream(out, true, StandardCharsets.UTF_8));
         try {
-            assertEquals(status, Main.run(args));
+            assertEquals(expectedStatus, Main.run(args));
         } finally {
-            System.setErr(before);
+            System.setErr(original);
         }
         return out.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void unknownCommandsGetTheUsage() {
-        assertTrue(complaint(2).contains("serve"));
-        assertTrue(complaint(2, "fly").contains("simhost"));
-        assertTrue(complaint(2, "serve", "twice", "over").contains("usage"));
+    void printsTheUsageForUnknownCommands() {
+        assertTrue(stderrOf(2).contains("serve"));
+        assertTrue(stderrOf(2, "fly").contains("simhost"));
+        assertTrue(stderrOf(2, "serve", "twice", "over").contains("usage"));
     }
 
     @Test
-    void aMissingOrBrokenConfigurationIsAPlainMessage(@TempDir Path folder) throws IOException {
-        assertTrue(complaint(1, "serve", folder.resolve("none.json").toString()).contains("none.json"));
+    void reportsAMissingOrInvalidConfigurationInOneLine(@TempDir Path folder) throws IOException {
+        assertTrue(stderrOf(1, "serve", folder.resolve("none.json").toString()).contains("none.json"));
         Path broken = Files.writeString(folder.resolve("broken.json"), "{\"listen\":");
-        String text = complaint(1, "serve", broken.toString());
+        String text = stderrOf(1, "serve", broken.toString());
         assertTrue(text.startsWith("ledgewall: broken.json: no JSON"), text);
         assertEquals(1, text.lines().count());
     }
--- a/router/src/test/java/ledgewall/SignalsTest.java
+++ b/router/src/test/java/ledgewall/SignalsTest.java
@@ -14,20 +14,20 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import ledgewall.standin.StandInServer;
+import ledgewall.standin.StubServer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A started process and the signals that it is sent. */
+/** Sends signals to a router that runs as a process. */
 @Timeout(60)
 class SignalsTest {
-    private final BlockingQueue<Integer> asked = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Integer> discoveryRequests = new LinkedBlockingQueue<>();
 
-    private StandInServer discovery(int number) throws IOException {
-        return new StandInServer(connection -> {
-            asked.add(number);
-            connection.awaitEnd();
+    private StubServer discovery(int number) throws IOException {
+        return new StubServer(connection -> {
+            discoveryRequests.add(number);
+            connection.awaitClose();
         });
     }
 
@@ -43,40 +43,40 @@
         assertEquals(0, new ProcessBuilder("kill", "-" + name, "" + router.pid()).start().waitFor());
     }
 
-    /** A router's process, begun by a shell that prepares what it inherits. */
-    private static Process serve(String shell, Path file) throws IOException {
-        Process router = new ProcessBuilder("/bin/sh", "-c", shell, "sh",
+    /** Starts a router through a shell script, which sets up the signal handling that the process inherits. */
+    private static Process startRouter(String shellScript, Path file) throws IOException {
+        Process router = new ProcessBuilder("/bin/sh", "-c", shellScript, "sh",
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-Dorg.slf4j.simpleLogger.defaultLogLevel=info", "-cp", System.getProperty("java.class.path"),
             "ledgewall.Main", "serve", file.toString())
             .redirectErrorStream(true).start();
-        // a log that never says what is awaited ends with its process
+        // ends the log, and with it the wait for a line that never comes
         CompletableFuture.delayedExecutor(30, TimeUnit.SECONDS).execute(router::destroyForcibly);
         return router;
     }
 
-    /** Started as nohup and some supervisors do, with SIGHUP ignored: no handler can ever hear it. */
+    /** The process starts with SIGHUP ignored, as under nohup and some supervisors, so that its handler is never called. */
     @Test
-    void whereSighupIsIgnoredFromTheStartTheFileIsTakenOverAsItChanges(@TempDir Path folder)
+    void reloadsTheFileWhenItChangesIfSighupIsIgnored(@TempDir Path folder)
             throws IOException, InterruptedException {
-        try (StandInServer first = discovery(1); StandInServer second = discovery(2)) {
-            String rehearsal = Files.readString(Path.of("deploy/rehearsal.json"));
-            String before = "\"discovery\": \"127.0.0.1:9\"";
+        try (StubServer first = discovery(1); StubServer second = discovery(2)) {
+            String template = Files.readString(Path.of("deploy/rehearsal.json"));
+            String discoverySetting = "\"discovery\": \"127.0.0.1:9\"";
             Path file = folder.resolve("config.json");
-            Files.writeString(file, rehearsal.replace(before, "\"discovery\": \"" + first.address() + "\""));
-            Process router = serve("trap '' HUP; exec \"$@\"", file);
+            Files.writeString(file, template.replace(discoverySetting, "\"discovery\": \"" + first.address() + "\""));
+            Process router = startRouter("trap '' HUP; exec \"$@\"", file);
             try (BufferedReader log = new BufferedReader(
                     new InputStreamReader(router.getInputStream(), StandardCharsets.UTF_8))) {
                 assertNotNull(awaitLine(log, "SIGHUP was ignored"));
                 assertNotNull(awaitLine(log, "listens on"));
-                assertEquals(1, asked.poll(20, TimeUnit.SECONDS));
-                Files.writeString(file, rehearsal.substring(0, rehearsal.length() / 2));
+                assertEquals(1, discoveryRequests.poll(20, TimeUnit.SECONDS));
+                Files.writeString(file, template.substring(0, template.length() / 2));
                 signal(router, "HUP");
                 assertNotNull(awaitLine(log, "nothing changes: config.json"));
-                Files.writeString(file, rehearsal.replace(before, "\"discovery\": \"" + second.address() + "\""));
+                Files.writeString(file, template.replace(discoverySetting, "\"discovery\": \"" + second.address() + "\""));
                 assertNotNull(awaitLine(log, "discovery is at"));
-                while (asked.poll(20, TimeUnit.SECONDS) != 2) {
-                    continue; // the first is asked again now and then until the second has answered
+                while (discoveryRequests.poll(20, TimeUnit.SECONDS) != 2) {
+                    continue; // the first address is still tried until the second has answered
                 }
             } finally {
                 router.destroyForcibly();
@@ -85,27 +85,27 @@
     }
 
     @Test
-    void aHangUpReloadsTheFileAndATerminationEndsTheProcess(@TempDir Path folder) throws IOException, InterruptedException {
-        try (StandInServer first = discovery(1); StandInServer second = discovery(2)) {
-            String rehearsal = Files.readString(Path.of("deploy/rehearsal.json"));
-            String before = "\"discovery\": \"127.0.0.1:9\"";
+    void sighupReloadsTheFileAndSigtermEndsTheProcess(@TempDir Path folder) throws IOException, InterruptedException {
+        try (StubServer first = discovery(1); StubServer second = discovery(2)) {
+            String template = Files.readString(Path.of("deploy/rehearsal.json"));
+            String discoverySetting = "\"discovery\": \"127.0.0.1:9\"";
             Path file = folder.resolve("config.json");
-            Files.writeString(file, rehearsal.replace(before, "\"discovery\": \"" + first.address() + "\""));
-            Process router = serve("exec \"$@\"", file);
+            Files.writeString(file, template.replace(discoverySetting, "\"discovery\": \"" + first.address() + "\""));
+            Process router = startRouter("exec \"$@\"", file);
             try (BufferedReader log = new BufferedReader(
                     new InputStreamReader(router.getInputStream(), StandardCharsets.UTF_8))) {
                 assertNotNull(awaitLine(log, "listens on"));
-                assertEquals(1, asked.poll(20, TimeUnit.SECONDS));
-                Files.writeString(file, rehearsal.substring(0, rehearsal.length() / 2));
+                assertEquals(1, discoveryRequests.poll(20, TimeUnit.SECONDS));
+                Files.writeString(file, template.substring(0, template.length() / 2));
                 signal(router, "HUP");
                 assertNotNull(awaitLine(log, "nothing changes: config.json"));
                 Files.delete(file);
                 signal(router, "HUP");
                 assertNotNull(awaitLine(log, "nothing changes: no such file"));
-                Files.writeString(file, rehearsal.replace(before, "\"discovery\": \"" + second.address() + "\""));
+                Files.writeString(file, template.replace(discoverySetting, "\"discovery\": \"" + second.address() + "\""));
                 signal(router, "HUP");
-                while (asked.poll(20, TimeUnit.SECONDS) != 2) {
-                    continue; // the first is asked now and then, as it says nothing
+                while (discoveryRequests.poll(20, TimeUnit.SECONDS) != 2) {
+                    continue; // the first address is still tried, as it never answers
                 }
                 signal(router, "TERM");
                 assertNotNull(awaitLine(log, "closed"));
