--- a/router/src/test/java/ledgewall/standin/Message.java
+++ b/router/src/test/java/ledgewall/standin/Message.java
@@ -10,9 +10,9 @@
 /** One message read from a socket; its type is 0 for a packet without a type byte. */
 public record Message(char type, byte[] body) {
     /** The next message, or null at the end of the stream. */
-    public static Message read(DataInputStream in, boolean typed) throws IOException {
+    public static Message read(DataInputStream in, boolean hasTypeByte) throws IOException {
         try {
-            char type = typed ? (char) in.readUnsignedByte() : 0;
+            char type = hasTypeByte ? (char) in.readUnsignedByte() : 0;
             byte[] body = new byte[in.readInt() - 4];
             in.readFully(body);
             return new Message(type, body);
