--- a/router/src/main/java/ledgewall/Service.java
+++ b/router/src/main/java/ledgewall/Service.java
@@ -21,14 +21,14 @@
     private final ClassifierFactory classifierFactory;
     private Classifier classifier;
 
-    /** Creates the classifier at the start and at each reload. */
+    /** Reads the classifier's settings and creates it, at the start and at each reload. */
     public interface ClassifierFactory {
         /**
          * Creates a classifier, or throws a {@link FormatException} that says what is wrong with its settings.
          *
          * @param previous the classifier in use until now, or null
          */
-        Classifier create(RouterConfig config, Classifier previous);
+        Classifier read(RouterConfig config, Classifier previous);
     }
 
     /** Runs a router that only accepts statements with a complete routing comment. */
@@ -50,7 +50,7 @@
     /** Returns once the router has closed. */
     public void run() throws IOException, InterruptedException {
         RouterConfig config = RouterConfig.read(configFile);
-        classifier = classifierFactory == null ? null : classifierFactory.create(config, null);
+        classifier = classifierFactory == null ? null : classifierFactory.read(config, null);
         CompletableFuture<Router> routerFuture = new CompletableFuture<>();
         if (!SighupHandler.install(() -> reload(routerFuture.join()))) {
             LOG.warn("SIGHUP was ignored when this process started: polling {} every {} ms instead and reloading it"
@@ -87,7 +87,7 @@
         }
         if (classifierFactory != null && newConfig != null) {
             try {
-                classifier = classifierFactory.create(newConfig, classifier);
+                classifier = classifierFactory.read(newConfig, classifier);
                 router.classifyBy(classifier);
                 LOG.info("the rules are taken over");
             } catch (FormatException e) {
--- a/router/src/main/java/ledgewall/pg/HostHeaderValidator.java
+++ b/router/src/main/java/ledgewall/pg/HostHeaderValidator.java
@@ -57,7 +57,7 @@
 
     private static void requireAtMost(int length, int maxLength) throws ProtocolException {
         if (length > maxLength) {
-            throw new ProtocolException("a message announces a body of " + length + " bytes");
+            throw new ProtocolException("a message announces too many body bytes: " + length);
         }
     }
 
--- a/router/src/main/java/ledgewall/pg/SqlScanner.java
+++ b/router/src/main/java/ledgewall/pg/SqlScanner.java
@@ -8,7 +8,7 @@
 
     /** Hashes a range of bytes. */
     interface RangeHash {
-        long hash(byte[] bytes, int start, int end);
+        long of(byte[] bytes, int start, int end);
     }
 
     private SqlScanner(byte[] bytes, int start, int end) {
@@ -43,7 +43,7 @@
                 skipQuoted(b, b == '\'' && position > 0 && (bytes[position - 1] | 0x20) == 'e');
                 if (b == '\'' && !literalSeen) {
                     literalSeen = true;
-                    firstLiteralHash = rangeHash.hash(bytes, start, position);
+                    firstLiteralHash = rangeHash.of(bytes, start, position);
                 }
             }
             position++;
--- a/router/src/test/java/ledgewall/standin/StubServer.java
+++ b/router/src/test/java/ledgewall/standin/StubServer.java
@@ -17,7 +17,8 @@
 
     /** The server's side of a connection, which is closed when the script returns. */
     public interface Script {
-        void run(Connection connection) throws IOException;
+        /** Runs the script on a new connection. */
+        void play(Connection connection) throws IOException;
     }
 
     /** The server's end of one connection; the first accepted one has the number 1. */
@@ -120,7 +121,7 @@
 
     private static void runScript(Script script, Connection connection) {
         try (connection.socket) {
-            script.run(connection);
+            script.play(connection);
         } catch (IOException e) {
             // the router closed the connection: tests check the effect on the router's side
         }
