--- a/cli/src/main/java/ledgewall/cli/Ledgewall.java
+++ b/cli/src/main/java/ledgewall/cli/Ledgewall.java
@@ -48,7 +48,7 @@
     static CommandLine commandLine() {
         CommandLine line = new CommandLine(new Ledgewall());
         line.setExecutionExceptionHandler((e, command, result) -> {
-            String reason = e instanceof IOException io ? Service.reason(io) : e.getMessage();
+            String reason = e instanceof IOException io ? Service.describe(io) : e.getMessage();
             if (!(e instanceof IOException || e instanceof SettingsException || e instanceof FormatException)) {
                 throw e;
             }
@@ -141,7 +141,7 @@
                     out.println(e.getMessage());
                     wrong = WRONG;
                 } catch (IOException e) {
-                    out.println(Service.reason(e));
+                    out.println(Service.describe(e));
                     wrong = WRONG;
                 }
             }
--- a/cli/src/main/java/ledgewall/cli/RuleClassifier.java
+++ b/cli/src/main/java/ledgewall/cli/RuleClassifier.java
@@ -5,7 +5,7 @@
 import ledgewall.RoutingPolicy.RequestClass;
 import ledgewall.net.Classifier;
 import ledgewall.net.RouterConfig;
-import ledgewall.pg.Classified;
+import ledgewall.pg.Classification;
 import ledgewall.rules.Decision;
 import ledgewall.rules.Limiter;
 import ledgewall.rules.Rule;
@@ -63,7 +63,7 @@
         }
         long wait = decision.longestWait() < 0 ? deadlines.get(decision.requestClass())
             : Math.max(1, decision.longestWait() / MILLISECOND);
-        Classified as = new Classified(decision.requestClass(), decision.tenant() == null ? "" : decision.tenant(),
+        Classification as = new Classification(decision.requestClass(), decision.tenant() == null ? "" : decision.tenant(),
             Math.max(0, decision.group()), decision.session(), wait, decision.retry());
         String key = decision.limitKey();
         if (key == null) {
--- a/cli/src/test/java/ledgewall/cli/ClassificationLatencyTest.java
+++ b/cli/src/test/java/ledgewall/cli/ClassificationLatencyTest.java
@@ -15,7 +15,7 @@
 import ledgewall.net.RouterConfig;
 import ledgewall.standin.Client;
 import ledgewall.standin.Message;
-import ledgewall.standin.StandInServer;
+import ledgewall.standin.StubServer;
 import ledgewall.standin.Wire;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
@@ -36,10 +36,10 @@
     @Test
     void withAndWithoutRules() throws IOException, SettingsException {
         int requests = Integer.getInteger("ledgewall.latency");
-        try (StandInServer host = StandInServer.host((connection, sql) -> connection.write(
+        try (StubServer host = StubServer.host((connection, sql) -> connection.write(
                 Wire.row((sql.startsWith("S") && sql.length() < 11 ? "x0=1,x1=1" : "v").getBytes(StandardCharsets.US_ASCII)),
                 Wire.ready()));
-                StandInServer discovery = new StandInServer(StandInServer.Connection::awaitEnd)) {
+                StubServer discovery = new StubServer(StubServer.Connection::awaitClose)) {
             Path file = folder.resolve("router.json");
             Files.writeString(file, Files.readString(Path.of("deploy/parking.json")).replace("127.0.0.1:5433", "127.0.0.1:0")
                 .replace("127.0.0.1:8500", discovery.address()).replace("127.0.0.1:5441", host.address())
@@ -51,7 +51,7 @@
                     Client commented = new Client(plain.listening()); Client bare = new Client(ruled.listening())) {
                 for (Client client : List.of(commented, bare)) {
                     client.send(Wire.startup("user", "desk"));
-                    client.untilReady();
+                    client.readUntilReady();
                 }
                 List<double[]> ratios = new ArrayList<>();
                 for (int round = 0; round < ROUNDS; round++) {
@@ -84,7 +84,7 @@
             byte[] query = Wire.query(sql.of(i));
             long start = System.nanoTime();
             client.send(query);
-            List<Message> answer = client.untilReady();
+            List<Message> answer = client.readUntilReady();
             times[i] = System.nanoTime() - start;
             assertEquals('T', answer.get(0).type());
         }
--- a/cli/src/test/java/ledgewall/cli/EndToEndTest.java
+++ b/cli/src/test/java/ledgewall/cli/EndToEndTest.java
@@ -22,7 +22,7 @@
 import ledgewall.net.RouterConfig;
 import ledgewall.standin.Client;
 import ledgewall.standin.Message;
-import ledgewall.standin.StandInServer;
+import ledgewall.standin.StubServer;
 import ledgewall.standin.Wire;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -41,19 +41,19 @@
 
     private final Map<String, Integer> atPrimary = new ConcurrentHashMap<>();
     private final Map<String, Integer> atReplica = new ConcurrentHashMap<>();
-    private StandInServer primary;
-    private StandInServer replica;
-    private StandInServer discovery;
+    private StubServer primary;
+    private StubServer replica;
+    private StubServer discovery;
     private Router router;
     private RouterConfig config;
     private RuleClassifier classifier;
 
-    private StandInServer host(boolean isPrimary, Map<String, Integer> seen) throws IOException {
-        return StandInServer.host((connection, sql) -> {
+    private StubServer host(boolean isPrimary, Map<String, Integer> seen) throws IOException {
+        return StubServer.host((connection, sql) -> {
             if (sql.equals("SELECT 1") || sql.equals("SHOW stats")) {
                 String report = "x0=" + System.currentTimeMillis() / 1_000 + ",x1=" + (isPrimary ? 1 : 0);
                 connection.write(Wire.row(report.getBytes(java.nio.charset.StandardCharsets.US_ASCII)),
-                    Wire.set("mode", isPrimary ? "read-write" : "read-only"), Wire.ready());
+                    Wire.param("mode", isPrimary ? "read-write" : "read-only"), Wire.ready());
                 return;
             }
             seen.merge(sql, 1, Integer::sum);
@@ -62,7 +62,7 @@
                 return;
             }
             connection.write(Wire.row(sql.getBytes(java.nio.charset.StandardCharsets.UTF_8)),
-                Wire.set("mode", isPrimary ? "read-write" : "read-only"), Wire.ready());
+                Wire.param("mode", isPrimary ? "read-write" : "read-only"), Wire.ready());
         });
     }
 
@@ -70,7 +70,7 @@
     void start() throws IOException, SettingsException {
         primary = host(true, atPrimary);
         replica = host(false, atReplica);
-        discovery = new StandInServer(StandInServer.Connection::awaitEnd);
+        discovery = new StubServer(StubServer.Connection::awaitClose);
         Path file = folder.resolve("router.json");
         Files.writeString(file, Files.readString(Path.of("deploy/parking.json")).replace("127.0.0.1:5433", "127.0.0.1:0")
             .replace("127.0.0.1:8500", discovery.address()).replace("127.0.0.1:5441", primary.address())
@@ -95,7 +95,7 @@
     private Client client(String user) throws IOException {
         Client client = new Client(router.listening());
         client.send(Wire.startup("user", user, "database", "songshan"));
-        client.untilReady();
+        client.readUntilReady();
         return client;
     }
 
@@ -103,7 +103,7 @@
     private static String ask(Client client, String sql) throws IOException {
         client.send(Wire.query(sql));
         StringBuilder types = new StringBuilder();
-        for (Message message : client.untilReady()) {
+        for (Message message : client.readUntilReady()) {
             types.append(message.type() == 'E' ? message.text().replaceAll("(?s).*\0C([0-9A-Z]{5})\0.*", "$1") : message.type());
         }
         return types.toString();
--- a/router/src/main/java/ledgewall/net/Attempt.java
+++ b/router/src/main/java/ledgewall/net/Attempt.java
@@ -68,7 +68,7 @@
 
     @Override
     public byte[] query() {
-        return request.statement().withWait(Math.max(1, Clock.toMillis(timeout)));
+        return request.statement().withTimeout(Math.max(1, Clock.toMillis(timeout)));
     }
 
     @Override
--- a/router/src/main/java/ledgewall/net/AttemptOutcome.java
+++ b/router/src/main/java/ledgewall/net/AttemptOutcome.java
@@ -46,8 +46,8 @@
     /** How an error's code ends what it answers. */
     static AttemptOutcome ofSqlState(String code) {
         return switch (code) {
-            case SqlState.READ_ONLY -> NOT_PRIMARY;
-            case SqlState.TOO_FAR_BEHIND -> TOO_FAR_BEHIND;
+            case SqlState.READ_ONLY_SQL_TRANSACTION -> NOT_PRIMARY;
+            case SqlState.SNAPSHOT_TOO_OLD -> TOO_FAR_BEHIND;
             case SqlState.TOO_MANY_CONNECTIONS -> TURNED_AWAY;
             case SqlState.PROTOCOL_VIOLATION, SqlState.SYNTAX_ERROR -> BAD_STATEMENT;
             default -> HOST_ERROR;
--- a/router/src/main/java/ledgewall/net/Classifier.java
+++ b/router/src/main/java/ledgewall/net/Classifier.java
@@ -1,7 +1,7 @@
 package ledgewall.net;
 
 import java.util.Map;
-import ledgewall.pg.Classified;
+import ledgewall.pg.Classification;
 import ledgewall.pg.SqlSummary;
 
 /**
@@ -26,7 +26,7 @@
      *
      * @param over is run once when the request is over, however it ends
      */
-    record Known(Classified as, Runnable over) implements Answer { }
+    record Known(Classification as, Runnable over) implements Answer { }
 
     /** Nobody can say what it is; the reason is for its client. */
     record Unknown(String reason) implements Answer { }
--- a/router/src/main/java/ledgewall/net/ClientConnection.java
+++ b/router/src/main/java/ledgewall/net/ClientConnection.java
@@ -166,7 +166,7 @@
                 frames.feed(bytes, received::add);
             } finally {
                 for (Frame frame : received) {
-                    messages.add(ClientMessage.of(frame, owner.takesPlain()));
+                    messages.add(ClientMessage.parse(frame, owner.takesPlain()));
                 }
             }
         } catch (ProtocolException e) {
@@ -175,7 +175,7 @@
                 fatal(e.getMessage());
             };
         }
-        int rest = frames.held();
+        int rest = frames.bufferedBytes();
         return () -> take(messages, rest, at);
     }
 
@@ -244,14 +244,14 @@
         } else if (message instanceof ClientMessage.Sync) {
             skipping = false;
             push(MessageWriter.readyForQuery());
-        } else if (message instanceof ClientMessage.Extended && !skipping) {
+        } else if (message instanceof ClientMessage.ExtendedQuery && !skipping) {
             skipping = true;
-            push(MessageWriter.error(SqlState.NOT_SUPPORTED, "the extended query protocol is not supported"));
+            push(MessageWriter.error(SqlState.FEATURE_NOT_SUPPORTED, "the extended query protocol is not supported"));
         } else if (message instanceof ClientMessage.EmptyQuery && !skipping) {
             push(MessageWriter.join(MessageWriter.emptyQueryResponse(), MessageWriter.readyForQuery()));
-        } else if (message instanceof ClientMessage.Unserved unserved && !skipping) {
+        } else if (message instanceof ClientMessage.Rejected unserved && !skipping) {
             refuse(unserved.sqlState(), unserved.reason());
-        } else if (message instanceof ClientMessage.Broken fault) {
+        } else if (message instanceof ClientMessage.ProtocolViolation fault) {
             last(fault.reason());
         }
     }
@@ -273,8 +273,8 @@
                 ? from.getAddress().getHostAddress() : "";
             client = new Client(user, told.getOrDefault("database", user), address);
         }
-        push(startup.minor() == 0 ? MessageWriter.welcome()
-            : MessageWriter.join(MessageWriter.negotiateVersion(), MessageWriter.welcome()));
+        push(startup.minorVersion() == 0 ? MessageWriter.startupReply()
+            : MessageWriter.join(MessageWriter.negotiateProtocolVersion(), MessageWriter.startupReply()));
     }
 
     private void query(Statement statement, long at) {
--- a/router/src/main/java/ledgewall/net/HostConnection.java
+++ b/router/src/main/java/ledgewall/net/HostConnection.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import ledgewall.pg.Frame;
 import ledgewall.pg.FrameReader;
-import ledgewall.pg.Greeting;
+import ledgewall.pg.StartupReply;
 import ledgewall.pg.MessageWriter;
 import ledgewall.pg.ProtocolException;
 import ledgewall.pg.Reply;
@@ -18,14 +18,14 @@
 /** A connection to a member's host. It carries one exchange at a time. */
 final class HostConnection implements Endpoint {
     /** A row of the longest value, with its header. */
-    private static final int LONGEST_MESSAGE = Reply.LONGEST_VALUE + 1024;
+    private static final int LONGEST_MESSAGE = Reply.MAX_VALUE_BYTES + 1024;
     private static final byte[] STARTUP = MessageWriter.startup("ledgewall", "ledgewall");
 
     private enum Stage { CONNECTING, GREETING, IDLE, BUSY, CLOSED }
 
     private final Wiring wiring;
     private final FrameReader frames = FrameReader.ofHost(LONGEST_MESSAGE);
-    private final Greeting greeting = new Greeting();
+    private final StartupReply greeting = new StartupReply();
     private final Consumer<HostConnection> whenIdle;
     private final Consumer<HostConnection> whenClosed;
     private ConnectFuture connecting;
@@ -107,7 +107,7 @@
                 garbled(at);
             };
         }
-        int rest = frames.held();
+        int rest = frames.bufferedBytes();
         return () -> {
             boolean unasked = stage == Stage.BUSY && !written; // it came before the request had gone out
             if (!unasked) {
@@ -154,12 +154,12 @@
 
     private void answer(Frame frame, long at) throws ProtocolException {
         reply.accept(frame);
-        if (reply.served() && !servedTold && isCopyOfProbeAnswer()) {
+        if (reply.succeeded() && !servedTold && isCopyOfProbeAnswer()) {
             reply = new Reply();
             garbled(at);
             return;
         }
-        if (reply.served() && !servedTold) {
+        if (reply.succeeded() && !servedTold) {
             servedTold = true;
             exchange.served(reply);
         }
@@ -167,7 +167,7 @@
             Exchange over = exchange;
             exchange = null;
             idleAfterProbe = over.isProbe();
-            probeAnswer = over.isProbe() && reply.served() ? reply.answer() : probeAnswer;
+            probeAnswer = over.isProbe() && reply.succeeded() ? reply.resultMessages() : probeAnswer;
             stage = Stage.IDLE;
             idleSince = wiring.loop().now();
             whenIdle.accept(this);
@@ -177,11 +177,11 @@
 
     /** Whether a request was answered with what the host said to the probe before: a second copy that came late. */
     private boolean isCopyOfProbeAnswer() {
-        return probeAnswer != null && !exchange.isProbe() && Arrays.equals(probeAnswer, reply.answer());
+        return probeAnswer != null && !exchange.isProbe() && Arrays.equals(probeAnswer, reply.resultMessages());
     }
 
     private AttemptOutcome answered() {
-        return reply.served() ? AttemptOutcome.SERVED : AttemptOutcome.ofSqlState(reply.sqlState());
+        return reply.succeeded() ? AttemptOutcome.SERVED : AttemptOutcome.ofSqlState(reply.sqlState());
     }
 
     private void garbled(long at) {
@@ -203,7 +203,7 @@
             return;
         }
         Exchange cut = exchange;
-        boolean whole = stage == Stage.BUSY && (reply.served() || reply.sqlState() != null);
+        boolean whole = stage == Stage.BUSY && (reply.succeeded() || reply.sqlState() != null);
         AttemptOutcome last = whole ? answered() : ending;
         close();
         if (cut != null) {
@@ -241,7 +241,7 @@
 
     /** Whether a whole answer is in hand, though its end is not. */
     boolean isAnswered() {
-        return stage == Stage.BUSY && (reply.served() || reply.sqlState() != null);
+        return stage == Stage.BUSY && (reply.succeeded() || reply.sqlState() != null);
     }
 
     /** How what it carries would end by the answer in hand. */
--- a/router/src/main/java/ledgewall/net/Probe.java
+++ b/router/src/main/java/ledgewall/net/Probe.java
@@ -86,7 +86,7 @@
 
     private static RoutingPolicy.Report report(Reply reply, long at) {
         try {
-            return HostReports.report(reply.text(), at);
+            return HostReports.report(reply.value(), at);
         } catch (ProtocolException e) {
             return null;
         }
--- a/router/src/main/java/ledgewall/net/RequestDispatcher.java
+++ b/router/src/main/java/ledgewall/net/RequestDispatcher.java
@@ -184,13 +184,13 @@
 
     @Override
     public ClientRequest take(Statement statement, ClientConnection.Slot slot, long at, ClientConnection.Client client) {
-        if (classifier == null || statement.isCommented() && !classifier.overridesComments()) {
+        if (classifier == null || statement.hasRoutingComment() && !classifier.overridesComments()) {
             return take(statement, slot, at, (Runnable) null);
         }
         Classifier.Answer answer = classifier.classify(new Classifier.Request(statement.text(), statement.summary(),
-            statement.comment(), client.user(), client.database(), client.address(), wiring.clock().now()));
+            statement.commentFields(), client.user(), client.database(), client.address(), wiring.clock().now()));
         if (answer instanceof Classifier.Known known) {
-            return take(statement.as(known.as(), "r" + (lastNumber + 1)), slot, at, known.over());
+            return take(statement.withClassification(known.as(), "r" + (lastNumber + 1)), slot, at, known.over());
         }
         wiring.counters().add(Counters.Count.REQUESTS);
         ClientRequest request = new ClientRequest(++lastNumber, statement, at, slot);
@@ -207,11 +207,11 @@
 
     private ClientRequest take(Statement statement, ClientConnection.Slot slot, long at, Runnable over) {
         wiring.counters().add(Counters.Count.REQUESTS);
-        long deadline = at + Clock.millis(Math.min(statement.waitMillis(), LONGEST_WAIT_MILLIS));
+        long deadline = at + Clock.millis(Math.min(statement.timeoutMillis(), LONGEST_WAIT_MILLIS));
         ClientRequest request = new ClientRequest(++lastNumber, statement, deadline, slot);
         request.whenOver(over);
         int index = classes.getOrDefault(statement.className(), -1);
-        String wrong = index < 0 ? "unknown class" : statement.waitMillis() == 0 ? "no time to answer in"
+        String wrong = index < 0 ? "unknown class" : statement.timeoutMillis() == 0 ? "no time to answer in"
             : !members.knowsGroup(statement.group()) ? "unknown cluster"
             : ids.getOrDefault(statement.id(), Long.MIN_VALUE) > wiring.loop().now() ? "this id is in use" : null;
         if (wrong != null) {
@@ -240,13 +240,13 @@
         Statement statement = request.statement();
         Need need = settings.classes().get(index).need();
         boolean sessions = need == Need.WRITE || need == Need.SESSION;
-        long writtenAt = Clock.ofUnixMillis(statement.writtenAtMillis());
+        long writtenAt = Clock.ofUnixMillis(statement.lastWriteMillis());
         boolean token = need == Need.SESSION && settings.data().tokensCarried() && writtenAt != 0;
         long now = wiring.loop().now();
         return new RoutingPolicy.Arrival(
             request.number(), index, tenant(statement.tenant()),
             statement.group(), sessions ? statement.sessionKey() : RoutingPolicy.NONE, request.deadline() - now,
-            token ? Math.max(0, now - writtenAt) : RoutingPolicy.NONE, statement.retry());
+            token ? Math.max(0, now - writtenAt) : RoutingPolicy.NONE, statement.isRetry());
     }
 
     /** Tenants that the settings don't list share the index behind theirs: whoever makes names up gets no memory. */
@@ -345,7 +345,7 @@
 
     @Override
     public void served(Attempt attempt, Reply reply) {
-        if (attempt.request().answer(withReady(reply.answer()))) {
+        if (attempt.request().answer(withReady(reply.resultMessages()))) {
             wiring.counters().add(Counters.Count.SERVED);
         }
     }
--- a/router/src/main/java/ledgewall/net/WarmUp.java
+++ b/router/src/main/java/ledgewall/net/WarmUp.java
@@ -101,24 +101,24 @@
         FrameReader reader = FrameReader.ofClient(query.length);
         reader.feed(ByteBuffer.wrap(MessageWriter.startup("rehearsal", "rehearsal")), frame -> { });
         reader.feed(ByteBuffer.wrap(query), frames::add);
-        Statement statement = ((ClientMessage.Query) ClientMessage.of(frames.get(0))).statement();
-        statement.withWait(wait);
+        Statement statement = ((ClientMessage.Query) ClientMessage.parse(frames.get(0))).statement();
+        statement.withTimeout(wait);
         next.add(new RoutingPolicy.Arrival(++requests, index, 0, 0, statement.sessionKey(), kind.deadline(),
-            RoutingPolicy.NONE, statement.retry()));
+            RoutingPolicy.NONE, statement.isRetry()));
     }
 
     private void answer(RoutingPolicy.Send send) throws ProtocolException {
         Reply reply = new Reply();
-        FrameReader reader = FrameReader.ofHost(Reply.LONGEST_VALUE);
-        reader.feed(ByteBuffer.wrap(MessageWriter.welcome()), frame -> { });
+        FrameReader reader = FrameReader.ofHost(Reply.MAX_VALUE_BYTES);
+        reader.feed(ByteBuffer.wrap(MessageWriter.startupReply()), frame -> { });
         List<Frame> frames = new ArrayList<>();
         reader.feed(ByteBuffer.wrap(MessageWriter.join(
-            MessageWriter.parameter("mode", send.member().endsWith("-0") ? "read-write" : "read-only"),
-            MessageWriter.row("data", VALUE), MessageWriter.readyForQuery())), frames::add);
+            MessageWriter.parameterStatus("mode", send.member().endsWith("-0") ? "read-write" : "read-only"),
+            MessageWriter.result("data", VALUE), MessageWriter.readyForQuery())), frames::add);
         for (Frame frame : frames) {
             reply.accept(frame);
         }
-        reply.answer();
+        reply.resultMessages();
         next.add(new RoutingPolicy.Outcome(send.request(), 0, send.member(), RoutingPolicy.Result.OK, TURN, true,
             HostReports.role(reply), HostReports.position(reply, now), HostReports.report(reply, now)));
     }
--- a/router/src/test/java/ledgewall/fleet/ClientCrowd.java
+++ b/router/src/test/java/ledgewall/fleet/ClientCrowd.java
@@ -131,10 +131,10 @@
 
     /** Whether the router answers; it may have ended a connection that rested, and a client then asks on a new one. */
     private boolean answered(Client client, int waitMs, byte[] query) throws IOException {
-        client.patience(waitMs + PATIENCE_MS);
+        client.setReadTimeout(waitMs + PATIENCE_MS);
         try {
             client.send(query);
-            String types = client.typesOfAnswer();
+            String types = client.readReplyTypes();
             if (types.isEmpty()) {
                 client.close();
                 return false;
--- a/router/src/test/java/ledgewall/fleet/FaultSoakTest.java
+++ b/router/src/test/java/ledgewall/fleet/FaultSoakTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.LongStream;
 import ledgewall.standin.Client;
-import ledgewall.standin.HostFarm;
+import ledgewall.standin.StubHosts;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -44,7 +44,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         int hosts = FleetConfig.GROUP * (random.nextBoolean() ? 15 : 240 + random.nextInt(560));
         int sockets = 128 + 64 * random.nextInt(7);
-        try (HostFarm primaries = new HostFarm(true); HostFarm replicas = new HostFarm(false)) {
+        try (StubHosts primaries = new StubHosts(true); StubHosts replicas = new StubHosts(false)) {
             List<String> entries = new ArrayList<>();
             for (int i = 0; i < hosts; i++) {
                 entries.add(FleetConfig.entry(i, (FleetConfig.isPrimary(i) ? primaries : replicas).address(), 0));
@@ -70,17 +70,17 @@
         assertTrue(router.endsBy(killed), "the router has not ended in its time");
     }
 
-    private static void faults(SplittableRandom random, MemberDirectory directory, HostFarm primaries, HostFarm replicas,
+    private static void faults(SplittableRandom random, MemberDirectory directory, StubHosts primaries, StubHosts replicas,
                                int hosts, RouterProcess router) {
         List<Client> idle = new ArrayList<>();
         try {
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(SECONDS);
             while (System.nanoTime() < end) {
-                HostFarm farm = random.nextBoolean() ? primaries : replicas;
+                StubHosts farm = random.nextBoolean() ? primaries : replicas;
                 switch (random.nextInt(7)) {
-                    case 0 -> farm.mood(HostFarm.Mood.HANGS);
-                    case 1 -> farm.mood(HostFarm.Mood.RESETS);
-                    case 2 -> farm.mood(HostFarm.Mood.FULL);
+                    case 0 -> farm.behavior(StubHosts.Behavior.UNRESPONSIVE);
+                    case 1 -> farm.behavior(StubHosts.Behavior.RESETTING);
+                    case 2 -> farm.behavior(StubHosts.Behavior.REFUSING);
                     case 3 -> directory.change(restarts(random, replicas, hosts));
                     case 4 -> directory.change(newPrimaries(random, primaries, replicas, hosts));
                     case 5 -> crowd(router, idle);
@@ -88,7 +88,7 @@
                 }
                 TimeUnit.MILLISECONDS.sleep(200 + random.nextInt(600));
                 if (random.nextBoolean()) {
-                    farm.mood(HostFarm.Mood.WELL);
+                    farm.behavior(StubHosts.Behavior.HEALTHY);
                 }
             }
             for (Client client : idle) {
@@ -105,7 +105,7 @@
         }
     }
 
-    private static List<String> restarts(SplittableRandom random, HostFarm replicas, int hosts) {
+    private static List<String> restarts(SplittableRandom random, StubHosts replicas, int hosts) {
         List<String> changed = new ArrayList<>();
         for (int host = 0; host < hosts; host++) {
             if (!FleetConfig.isPrimary(host) && random.nextInt(3) == 0) {
@@ -115,7 +115,7 @@
         return changed;
     }
 
-    private static List<String> newPrimaries(SplittableRandom random, HostFarm primaries, HostFarm replicas, int hosts) {
+    private static List<String> newPrimaries(SplittableRandom random, StubHosts primaries, StubHosts replicas, int hosts) {
         List<String> changed = new ArrayList<>();
         for (int group = 0; group < hosts / FleetConfig.GROUP; group++) {
             if (random.nextInt(4) == 0) {
--- a/router/src/test/java/ledgewall/fleet/FleetSizeTest.java
+++ b/router/src/test/java/ledgewall/fleet/FleetSizeTest.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
-import ledgewall.standin.HostFarm;
+import ledgewall.standin.StubHosts;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -38,19 +38,19 @@
                            int connections, long listBytes) { }
 
     /** A fleet of so many hosts and what happens there. */
-    private record Scene(int hosts, int sockets, int perSecond, int seconds, boolean fellows, HostFarm.Mood mood) { }
+    private record Scene(int hosts, int sockets, int perSecond, int seconds, boolean fellows, StubHosts.Behavior mood) { }
 
     @BeforeAll
     static void playBothSizes() throws IOException, InterruptedException {
-        usual = play(new Scene(USUAL_HOSTS, SOCKETS, PER_SECOND, SECONDS, true, HostFarm.Mood.WELL));
-        many = play(new Scene(MANY_HOSTS, SOCKETS, PER_SECOND, SECONDS, true, HostFarm.Mood.WELL));
+        usual = play(new Scene(USUAL_HOSTS, SOCKETS, PER_SECOND, SECONDS, true, StubHosts.Behavior.HEALTHY));
+        many = play(new Scene(MANY_HOSTS, SOCKETS, PER_SECOND, SECONDS, true, StubHosts.Behavior.HEALTHY));
     }
 
     private static Outcome play(Scene scene) throws IOException, InterruptedException {
-        try (HostFarm primaries = new HostFarm(true); HostFarm replicas = new HostFarm(false);
+        try (StubHosts primaries = new StubHosts(true); StubHosts replicas = new StubHosts(false);
                 FellowRouters fellows = new FellowRouters(FleetConfig.ROUTERS, FleetConfig.RANK)) {
-            primaries.mood(scene.mood());
-            replicas.mood(scene.mood());
+            primaries.behavior(scene.mood());
+            replicas.behavior(scene.mood());
             List<String> entries = new ArrayList<>();
             for (int i = 0; i < scene.hosts(); i++) {
                 entries.add(FleetConfig.entry(i, (FleetConfig.isPrimary(i) ? primaries : replicas).address(), 0));
@@ -67,7 +67,7 @@
                 clients.run(scene.perSecond(), scene.seconds(), 800);
                 Outcome outcome = new Outcome(clients.asked(), clients.served(), clients.lost(),
                     router.processorSeconds() - before, router.descriptors(),
-                    primaries.connections() + replicas.connections(), directory.bytes());
+                    primaries.acceptedConnections() + replicas.acceptedConnections(), directory.bytes());
                 changes.join();
                 System.out.println(scene + " " + outcome);
                 return outcome;
@@ -76,7 +76,7 @@
     }
 
     /** A replica starts anew each two seconds; in the middle eleven groups, or all there are, have a new primary at once. */
-    private static void change(MemberDirectory directory, HostFarm primaries, HostFarm replicas, Scene scene) {
+    private static void change(MemberDirectory directory, StubHosts primaries, StubHosts replicas, Scene scene) {
         try {
             for (int second = 2; second < scene.seconds(); second += 2) {
                 Thread.sleep(2_000);
@@ -103,14 +103,14 @@
     @Test
     void noRequestIsLeftUnansweredWhereConnectionsToThousandsOfHostsCouldFillTheDescriptors()
             throws IOException, InterruptedException {
-        Outcome outcome = play(new Scene(3_200, 192, 30, 12, false, HostFarm.Mood.WELL));
+        Outcome outcome = play(new Scene(3_200, 192, 30, 12, false, StubHosts.Behavior.HEALTHY));
         assertNothingLost(outcome);
         assertTrue(outcome.served() > outcome.asked() / 2, outcome.toString());
     }
 
     @Test
     void noRequestIsLeftUnansweredWhereThousandsOfHostsHang() throws IOException, InterruptedException {
-        Outcome outcome = play(new Scene(3_200, 192, 30, 6, false, HostFarm.Mood.HANGS));
+        Outcome outcome = play(new Scene(3_200, 192, 30, 6, false, StubHosts.Behavior.UNRESPONSIVE));
         assertNothingLost(outcome);
     }
 
--- a/router/src/test/java/ledgewall/fleet/MemberDirectory.java
+++ b/router/src/test/java/ledgewall/fleet/MemberDirectory.java
@@ -5,21 +5,21 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
-import ledgewall.standin.StandInServer;
+import ledgewall.standin.StubServer;
 
 /** Discovery of a fleet of any size: whole lists, watches, and one member that starts anew with each change. */
 final class MemberDirectory implements AutoCloseable {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
     private static final long HEARTBEAT_MS = 1_000;
 
-    private final StandInServer server;
+    private final StubServer server;
     private final List<String> entries;
     private final List<String> changes = new ArrayList<>();
     private final AtomicLong bytes = new AtomicLong();
 
     MemberDirectory(List<String> entries) throws IOException {
         this.entries = entries;
-        this.server = new StandInServer(this::answer);
+        this.server = new StubServer(this::answer);
     }
 
     String address() {
@@ -46,8 +46,8 @@
         notifyAll();
     }
 
-    private void answer(StandInServer.Connection connection) throws IOException {
-        String head = connection.requestHead();
+    private void answer(StubServer.Connection connection) throws IOException {
+        String head = connection.readRequestHead();
         int since = head.indexOf("since=");
         if (since < 0) {
             byte[] body = whole().getBytes(StandardCharsets.UTF_8);
--- a/router/src/test/java/ledgewall/net/ClientsTest.java
+++ b/router/src/test/java/ledgewall/net/ClientsTest.java
@@ -18,7 +18,7 @@
 import ledgewall.standin.Client;
 import ledgewall.standin.Message;
 import ledgewall.standin.ScriptedPolicy;
-import ledgewall.standin.StandInServer;
+import ledgewall.standin.StubServer;
 import ledgewall.standin.Wire;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.RepeatedTest;
@@ -41,7 +41,7 @@
     /** Answers each request with its own id. */
     private ScriptedPolicy echo() throws IOException {
         ScriptedPolicy policy = ScriptedPolicy.sendTo("m", 0);
-        rig.host("m", StandInServer.host((connection, sql) -> {
+        rig.host("m", StubServer.host((connection, sql) -> {
             String id = sql.substring(sql.indexOf("id=") + 3, sql.indexOf(','));
             connection.write(Wire.row(id.getBytes(java.nio.charset.StandardCharsets.US_ASCII)), Wire.ready());
         }));
@@ -59,10 +59,10 @@
         echo();
         Client client = rig.stranger();
         client.send(Wire.startup("user", "portal", "database", "crm"), Wire.query(""));
-        String welcome = client.types();
+        String welcome = client.readTypesUntilReady();
         assertEquals('R', welcome.charAt(0));
         assertTrue(welcome.endsWith("K"));
-        assertEquals("I", client.types());
+        assertEquals("I", client.readTypesUntilReady());
     }
 
     @Test
@@ -72,8 +72,8 @@
         for (byte b : Wire.join(Wire.startup("user", "u"), RouterHarness.look("7"))) {
             client.send(new byte[] {b});
         }
-        client.untilReady();
-        assertEquals("7", value(client.untilReady()));
+        client.readUntilReady();
+        assertEquals("7", value(client.readUntilReady()));
     }
 
     @Test
@@ -109,11 +109,11 @@
         client.send(RouterHarness.look("1"), Wire.query("nonsense"), RouterHarness.look("2"), Wire.query(""));
         long first = policy.next(Arrival.class).request();
         long second = policy.next(Arrival.class).request();
-        policy.command(new RoutingPolicy.Refuse(second, 0), new RoutingPolicy.Fail(first));
-        assertEquals("08006", client.untilReady().get(0).field('C'));
-        assertEquals("42601", client.untilReady().get(0).field('C'));
-        assertEquals("53300", client.untilReady().get(0).field('C'));
-        assertEquals("I", client.types());
+        policy.submit(new RoutingPolicy.Refuse(second, 0), new RoutingPolicy.Fail(first));
+        assertEquals("08006", client.readUntilReady().get(0).field('C'));
+        assertEquals("42601", client.readUntilReady().get(0).field('C'));
+        assertEquals("53300", client.readUntilReady().get(0).field('C'));
+        assertEquals("I", client.readTypesUntilReady());
     }
 
     @Test
@@ -126,7 +126,7 @@
         }
         client.send(queries);
         for (int i = 0; i < queries.length; i++) {
-            assertEquals("" + i, value(client.untilReady()));
+            assertEquals("" + i, value(client.readUntilReady()));
         }
     }
 
@@ -137,14 +137,14 @@
         Client client = rig.client();
         client.send(RouterHarness.look("1"));
         long request = policy.next(Arrival.class).request();
-        policy.command(new RoutingPolicy.Refuse(request, 250 * RouterHarness.MS), new RoutingPolicy.Fail(request),
+        policy.submit(new RoutingPolicy.Refuse(request, 250 * RouterHarness.MS), new RoutingPolicy.Fail(request),
             new RoutingPolicy.Refuse(request, 0));
-        Message refusal = client.untilReady().get(0);
+        Message refusal = client.readUntilReady().get(0);
         assertEquals("53300", refusal.field('C'));
         assertEquals("250", refusal.field('D'));
         client.send(RouterHarness.look("2"));
-        policy.command(new RoutingPolicy.Refuse(policy.next(Arrival.class).request(), 0));
-        assertNull(client.untilReady().get(0).field('D'));
+        policy.submit(new RoutingPolicy.Refuse(policy.next(Arrival.class).request(), 0));
+        assertNull(client.readUntilReady().get(0).field('D'));
         assertEquals(2, rig.router().counts().of(Counters.Count.REFUSED));
         assertEquals(0, rig.router().counts().of(Counters.Count.FAILED));
     }
@@ -165,7 +165,7 @@
         rig.start(policy);
         Client client = rig.client();
         client.send(Wire.query(RouterHarness.sql("id=1,c=look,d=20,cluster=2")));
-        assertEquals("08006", client.untilReady().get(0).field('C'));
+        assertEquals("08006", client.readUntilReady().get(0).field('C'));
         assertEquals(policy.next(Arrival.class).request(), policy.next(Lapsed.class).request());
         assertEquals(1, rig.router().counts().of(Counters.Count.OVERDUE));
     }
@@ -178,33 +178,33 @@
         echo();
         Client client = rig.client();
         client.send(Wire.query(sql), RouterHarness.look("5"));
-        Message error = client.untilReady().get(0);
+        Message error = client.readUntilReady().get(0);
         assertEquals("42601", error.field('C'));
-        assertEquals("5", value(client.untilReady()));
+        assertEquals("5", value(client.readUntilReady()));
     }
 
     @Test
     void encryptionIsDeclinedAndTheConnectionGoesOn() throws IOException {
         echo();
         Client client = rig.stranger();
-        client.send(Wire.packet(80877103));
+        client.send(Wire.untypedPacket(80877103));
         assertEquals('N', client.readByte());
-        client.send(Wire.packet(80877104));
+        client.send(Wire.untypedPacket(80877104));
         assertEquals('N', client.readByte());
         client.send(Wire.startup("user", "u"), RouterHarness.look("3"));
-        client.untilReady();
-        assertEquals("3", value(client.untilReady()));
+        client.readUntilReady();
+        assertEquals("3", value(client.readUntilReady()));
     }
 
     @Test
     void encryptionIsNotDeclinedWithoutEnd() throws IOException {
         echo();
         Client client = rig.stranger();
-        client.send(Wire.packet(80877103), Wire.packet(80877104), Wire.packet(80877103));
+        client.send(Wire.untypedPacket(80877103), Wire.untypedPacket(80877104), Wire.untypedPacket(80877103));
         assertEquals('N', client.readByte());
         assertEquals('N', client.readByte());
         assertEquals("FATAL", client.read().field('S'));
-        assertTrue(client.atEnd());
+        assertTrue(client.endOfStream());
     }
 
     @Test
@@ -215,7 +215,7 @@
         startup[7] = 2;
         client.send(startup);
         assertEquals('v', client.read().type());
-        assertTrue(client.types().startsWith("R"));
+        assertTrue(client.readTypesUntilReady().startsWith("R"));
     }
 
     @Test
@@ -225,10 +225,10 @@
         client.send(Wire.message('P', Wire.text(""), Wire.text("SELECT 1"), Wire.int16(0)), Wire.message('B', new byte[8]),
             Wire.message('H'), RouterHarness.look("skipped"), Wire.message('E', new byte[5]), Wire.message('S'),
             RouterHarness.look("8"));
-        List<Message> answer = client.untilReady();
+        List<Message> answer = client.readUntilReady();
         assertEquals(1, answer.size());
         assertEquals("0A000", answer.get(0).field('C'));
-        assertEquals("8", value(client.untilReady()));
+        assertEquals("8", value(client.readUntilReady()));
     }
 
     @ParameterizedTest
@@ -248,9 +248,9 @@
         assertEquals('E', fatal.type());
         assertEquals("FATAL", fatal.field('S'));
         assertEquals("08P01", fatal.field('C'));
-        assertTrue(client.atEnd());
+        assertTrue(client.endOfStream());
         other.send(RouterHarness.look("4"));
-        assertEquals("4", value(other.untilReady()));
+        assertEquals("4", value(other.readUntilReady()));
     }
 
     @Test
@@ -259,9 +259,9 @@
         rig.start(policy);
         Client client = rig.client();
         client.send(RouterHarness.look("1"), Wire.message('~'));
-        assertEquals("08006", client.untilReady().get(0).field('C'));
+        assertEquals("08006", client.readUntilReady().get(0).field('C'));
         assertEquals("08P01", client.read().field('C'));
-        assertTrue(client.atEnd());
+        assertTrue(client.endOfStream());
         assertEquals(policy.next(Arrival.class).request(), policy.next(Lapsed.class).request());
     }
 
@@ -270,7 +270,7 @@
         echo();
         Client client = rig.stranger();
         client.send(Wire.int32(16), Wire.int32(80877102), Wire.int32(0), Wire.int32(0));
-        assertTrue(client.atEnd());
+        assertTrue(client.endOfStream());
     }
 
     @Test
@@ -284,7 +284,7 @@
         }
         Client client = rig.client();
         client.send(RouterHarness.look("2"));
-        assertEquals("2", value(client.untilReady()));
+        assertEquals("2", value(client.readUntilReady()));
         assertEquals(1, rig.router().counts().of(Counters.Count.REQUESTS));
     }
 
@@ -303,11 +303,11 @@
         }
         Client client = rig.client();
         client.send(RouterHarness.look("6"));
-        assertEquals("6", value(client.untilReady()));
+        assertEquals("6", value(client.readUntilReady()));
     }
 
     private Client noisy(int round) throws IOException {
-        return round % 2 == 0 ? new Client(rig.router().listening()) : Client.started(rig.router().listening());
+        return round % 2 == 0 ? new Client(rig.router().listening()) : Client.connect(rig.router().listening());
     }
 
     @Test
@@ -318,40 +318,40 @@
             event instanceof Arrival arrival ? List.of(new RoutingPolicy.Send(arrival.request(), "m", 0))
             : event instanceof Outcome outcome && !outcome.complete() ? List.of(new RoutingPolicy.Fail(outcome.request()))
             : List.of());
-        rig.host("m", StandInServer.host((connection, sql) -> {
+        rig.host("m", StubServer.host((connection, sql) -> {
             OutcomesTest.await(release);
             connection.write(Wire.row(new byte[1]), Wire.ready());
         }));
         rig.start(policy);
         Client first = rig.client();
         Client second = rig.client();
-        assertTrue(rig.stranger().atEnd());
+        assertTrue(rig.stranger().endOfStream());
         assertEquals(1, rig.router().counts().of(Counters.Count.CLIENTS_TURNED_AWAY));
         first.send(RouterHarness.look("1"));
         policy.next(Arrival.class);
         second.send(RouterHarness.look("2"));
-        assertEquals("E", second.types());
+        assertEquals("E", second.readTypesUntilReady());
         assertEquals(RoutingPolicy.Result.REJECTED, policy.next(Outcome.class).result());
         release.countDown();
-        assertEquals("TDC", first.types());
+        assertEquals("TDC", first.readTypesUntilReady());
     }
 
     /** Ids are always new: one that is open, or was lately, is not its sender's. */
     @Test
     void theIdOfAnotherClientsRequestIsTurnedAwayAndItsOwnerIsServed() throws IOException, InterruptedException {
         ScriptedPolicy policy = ScriptedPolicy.idle();
-        rig.host("m", StandInServer.host((connection, sql) -> connection.write(Wire.row(new byte[1]), Wire.ready())));
+        rig.host("m", StubServer.host((connection, sql) -> connection.write(Wire.row(new byte[1]), Wire.ready())));
         rig.start(policy);
         Client owner = rig.client();
         owner.send(RouterHarness.look("1"));
         long request = policy.next(Arrival.class).request();
         Client thief = rig.client();
         thief.send(RouterHarness.look("1"));
-        assertEquals("42601", thief.untilReady().get(0).field('C'));
-        policy.command(new RoutingPolicy.Send(request, "m", 0));
-        assertEquals("TDC", owner.types());
+        assertEquals("42601", thief.readUntilReady().get(0).field('C'));
+        policy.submit(new RoutingPolicy.Send(request, "m", 0));
+        assertEquals("TDC", owner.readTypesUntilReady());
         thief.send(RouterHarness.look("1"));
-        assertEquals("42601", thief.untilReady().get(0).field('C'));
+        assertEquals("42601", thief.readUntilReady().get(0).field('C'));
     }
 
     @Test
@@ -373,8 +373,8 @@
         ScriptedPolicy policy = echo();
         Client client = rig.client();
         client.send(Wire.query(RouterHarness.sql(fields)));
-        assertEquals("42601", client.untilReady().get(0).field('C'));
-        assertFalse(policy.hasHeard(Arrival.class));
+        assertEquals("42601", client.readUntilReady().get(0).field('C'));
+        assertFalse(policy.hasReceived(Arrival.class));
     }
 
     @Test
@@ -413,7 +413,7 @@
             last = client.read();
         }
         assertEquals("FATAL", last.field('S'));
-        assertTrue(client.atEnd());
+        assertTrue(client.endOfStream());
         long took = System.nanoTime() - before;
         assertTrue(took > 2_000 * RouterHarness.MS, "usual clients may be slow: " + took);
         assertEquals(1, rig.router().counts().of(Counters.Count.SILENT_CLIENTS));
@@ -450,7 +450,7 @@
         for (int i = 0; i < 46; i++) {
             Client client = rig.client();
             client.send(RouterHarness.look("" + i));
-            assertEquals("" + i, value(client.untilReady()));
+            assertEquals("" + i, value(client.readUntilReady()));
         }
         while (!rig.router().sizes().contains("clients 40,")) {
             Thread.onSpinWait(); // a sweep a quarter second; the test's time-out ends this
@@ -467,8 +467,8 @@
                 client.send(Wire.startup("user", "u"), RouterHarness.look(id));
                 Message first = client.read();
                 if (first != null) {
-                    client.untilReady();
-                    return client.untilReady();
+                    client.readUntilReady();
+                    return client.readUntilReady();
                 }
             } catch (java.net.SocketException e) {
                 // turned away while it wrote
@@ -482,7 +482,7 @@
     void aClientThatDoesNotReadHoldsUpNobodyAndLosesNothing() throws IOException {
         ScriptedPolicy policy = ScriptedPolicy.sendTo("m", 0);
         byte[] large = new byte[64 * 1024];
-        rig.host("m", StandInServer.host((connection, sql) -> connection.write(Wire.row(large), Wire.ready())));
+        rig.host("m", StubServer.host((connection, sql) -> connection.write(Wire.row(large), Wire.ready())));
         rig.start(policy);
         Client slow = rig.client();
         byte[][] queries = new byte[800][];
@@ -491,13 +491,13 @@
         Client client = rig.client();
         for (int i = 0; i < 20; i++) {
             client.send(RouterHarness.look("x" + i));
-            byte[] body = client.untilReady().get(1).body();
+            byte[] body = client.readUntilReady().get(1).body();
             assertArrayEquals(large, Arrays.copyOfRange(body, 6, body.length));
         }
         long taken = rig.router().counts().of(Counters.Count.REQUESTS);
         assertTrue(taken < 820, "what kernels do not buffer waits: " + taken);
         for (int i = 0; i < queries.length; i++) {
-            assertEquals("TDC", slow.types(), "query " + i);
+            assertEquals("TDC", slow.readTypesUntilReady(), "query " + i);
         }
         assertEquals(0, rig.router().counts().of(Counters.Count.CUT_OFF));
     }
@@ -510,7 +510,7 @@
         Arrays.fill(queries, Wire.query(""));
         client.send(queries);
         for (int i = 0; i < queries.length; i++) {
-            assertEquals("I", client.types());
+            assertEquals("I", client.readTypesUntilReady());
         }
     }
 
@@ -535,8 +535,8 @@
         policy.next(Lapsed.class);
         assertTrue(rig.router().counts().of(Counters.Count.CUT_OFF) >= 1);
         small.send(Wire.query(""));
-        policy.command(new RoutingPolicy.Fail(1));
-        assertEquals("E", small.types());
-        assertEquals("I", small.types());
+        policy.submit(new RoutingPolicy.Fail(1));
+        assertEquals("E", small.readTypesUntilReady());
+        assertEquals("I", small.readTypesUntilReady());
     }
 }
--- a/router/src/test/java/ledgewall/net/FollowTest.java
+++ b/router/src/test/java/ledgewall/net/FollowTest.java
@@ -17,7 +17,7 @@
 import ledgewall.RoutingPolicy.MemberList;
 import ledgewall.RoutingPolicy.Phase;
 import ledgewall.standin.ScriptedPolicy;
-import ledgewall.standin.StandInServer;
+import ledgewall.standin.StubServer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -41,7 +41,7 @@
     }
 
     /** What discovery says to its first request, its second and so on; the last stands for all others. */
-    private void start(StandInServer.Script... scripts) throws IOException, InterruptedException {
+    private void start(StubServer.Script... scripts) throws IOException, InterruptedException {
         rig.member("m", ADDRESS).discovery(connection -> {
             asked.add(request(connection));
             scripts[Math.min(connection.number(), scripts.length) - 1].play(connection);
@@ -51,11 +51,11 @@
     }
 
     /** Reads a request's head; its target. */
-    private static String request(StandInServer.Connection connection) throws IOException {
-        return connection.requestHead().split(" ")[1];
+    private static String request(StubServer.Connection connection) throws IOException {
+        return connection.readRequestHead().split(" ")[1];
     }
 
-    private static void say(StandInServer.Connection connection, String text) throws IOException {
+    private static void say(StubServer.Connection connection, String text) throws IOException {
         connection.write(text.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -72,12 +72,12 @@
         return RouterHarness.entry(id, ADDRESS, "Ready", 0);
     }
 
-    private static void watch(StandInServer.Connection connection, String... lines) throws IOException {
+    private static void watch(StubServer.Connection connection, String... lines) throws IOException {
         say(connection, CHUNKED);
         for (String line : lines) {
             say(connection, chunk(line));
         }
-        connection.awaitEnd();
+        connection.awaitClose();
     }
 
     private String askedNext() throws InterruptedException {
@@ -104,7 +104,7 @@
         start(connection -> {
             say(connection, CHUNKED + chunk(line.substring(0, 9)));
             say(connection, chunk(line.substring(9) + list(43, false, ready("o")) + list(44, true, ready("p"))));
-            connection.awaitEnd();
+            connection.awaitClose();
         });
         assertEquals("n", policy.next(MemberList.class).listings().get(0).member());
         assertEquals("o", policy.next(MemberList.class).listings().get(0).member());
@@ -130,7 +130,7 @@
     void aBadReplyIsDroppedAndTheWatchAskedForAgain(String reply) throws IOException, InterruptedException {
         start(connection -> {
             say(connection, reply);
-            connection.awaitEnd();
+            connection.awaitClose();
         }, connection -> watch(connection, list(42, false, ready("n"))));
         assertEquals("/catalog/members?follow=1&since=41", askedNext());
         assertEquals("/catalog/members?follow=1&since=41", askedNext());
@@ -178,7 +178,7 @@
             oldEnded.countDown();
         });
         assertEquals("n", policy.next(MemberList.class).listings().get(0).member());
-        try (StandInServer there = new StandInServer(connection -> {
+        try (StubServer there = new StubServer(connection -> {
             askedThere.add(request(connection));
             watch(connection, list(43, false, ready("o")));
         })) {
@@ -190,14 +190,14 @@
             assertEquals("/catalog/members?follow=1&since=42", askedThere.poll(20, TimeUnit.SECONDS));
             assertEquals("o", policy.next(MemberList.class).listings().get(0).member());
             assertTrue(oldEnded.await(20, TimeUnit.SECONDS));
-            assertEquals(1, there.accepted());
-            assertFalse(policy.hasHeard(MemberList.class));
+            assertEquals(1, there.acceptedCount());
+            assertFalse(policy.hasReceived(MemberList.class));
         }
     }
 
     @Test
     void silenceIsNoEmptyListAndTheWatchIsBegunAgain() throws IOException, InterruptedException {
-        start(StandInServer.Connection::awaitEnd, connection -> watch(connection, list(42, false, ready("n"))));
+        start(StubServer.Connection::awaitClose, connection -> watch(connection, list(42, false, ready("n"))));
         askedNext();
         assertEquals("/catalog/members?follow=1&since=41", askedNext());
         assertEquals(ListKind.CHANGES, policy.next(MemberList.class).kind());
@@ -219,7 +219,7 @@
 
     @Test
     void aReplyThatNeverComesIsGivenUpEachTime() throws IOException, InterruptedException {
-        start(StandInServer.Connection::awaitEnd, StandInServer.Connection::awaitEnd, StandInServer.Connection::awaitEnd,
+        start(StubServer.Connection::awaitClose, StubServer.Connection::awaitClose, StubServer.Connection::awaitClose,
             connection -> watch(connection, list(42, false, ready("n"))));
         assertEquals("n", policy.next(MemberList.class).listings().get(0).member());
         assertEquals(4, rig.router().counts().of(Counters.Count.WATCHES));
@@ -233,14 +233,14 @@
             connection -> watch(connection, list(42, false, ready("n"))),
             connection -> say(connection, "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nnolist\r\n"));
         assertTrue(asked.isEmpty());
-        policy.command(new RoutingPolicy.Subscribe());
+        policy.submit(new RoutingPolicy.Subscribe());
         assertEquals(ListKind.FAILED, policy.next(MemberList.class).kind());
-        policy.command(new RoutingPolicy.Subscribe());
+        policy.submit(new RoutingPolicy.Subscribe());
         assertEquals(ListKind.CHANGES, policy.next(MemberList.class).kind());
-        policy.command(new RoutingPolicy.FetchList());
+        policy.submit(new RoutingPolicy.FetchList());
         MemberList failed = policy.next(MemberList.class);
         assertEquals(ListKind.FAILED, failed.kind());
         assertTrue(failed.listings().isEmpty());
-        assertFalse(policy.hasHeard(MemberList.class));
+        assertFalse(policy.hasReceived(MemberList.class));
     }
 }
--- a/router/src/test/java/ledgewall/net/ForgettingTest.java
+++ b/router/src/test/java/ledgewall/net/ForgettingTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import ledgewall.ReplicaRoutingPolicy;
 import ledgewall.standin.Client;
-import ledgewall.standin.StandInServer;
+import ledgewall.standin.StubServer;
 import ledgewall.standin.Wire;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -28,13 +28,13 @@
         rig.close();
     }
 
-    private static void chunk(StandInServer.Connection connection, String text) throws IOException {
+    private static void chunk(StubServer.Connection connection, String text) throws IOException {
         connection.write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void whatIsGoneLeavesNothingBehind() throws IOException, InterruptedException {
-        StandInServer host = StandInServer.host((connection, sql) -> connection.write(
+        StubServer host = StubServer.host((connection, sql) -> connection.write(
             Wire.row((sql.startsWith("SHOW") ? "x0=" + System.currentTimeMillis() / 1e3 + ",x1=0" : "v")
                 .getBytes(StandardCharsets.UTF_8)), Wire.ready()));
         CountDownLatch replaced = new CountDownLatch(1);
@@ -45,16 +45,16 @@
                     + "\",\"phase\":\"Gone\"}," + RouterHarness.entry("m" + i, host.address(), "Ready", 0) + "]}\n");
             }
             replaced.countDown();
-            connection.awaitEnd();
+            connection.awaitClose();
         });
         Router router = rig.start(new ReplicaRoutingPolicy(RouterConfig.parse(
             rig.config().getBytes(StandardCharsets.UTF_8), "config").settings(), 7));
         assertTrue(replaced.await(20, TimeUnit.SECONDS));
         for (int i = 0; i < CLIENTS; i++) {
-            try (Client client = Client.started(router.listening())) {
+            try (Client client = Client.connect(router.listening())) {
                 client.send(Wire.query("/* id=new" + i + ",c=look,d=50,cluster=2 */ SELECT data FROM facts WHERE code = 'k"
                     + i + "'"));
-                client.untilReady();
+                client.readUntilReady();
             }
         }
         while (!router.sizes().equals("members 2, requests 0, clients 0, ids 0")) {
--- a/router/src/test/java/ledgewall/net/HostReportsTest.java
+++ b/router/src/test/java/ledgewall/net/HostReportsTest.java
@@ -55,15 +55,15 @@
     @Test
     void aCommitOfTheFutureIsNone() throws ProtocolException {
         Reply reply = new Reply();
-        reply.accept(Wire.parameter("wal_time", "1796139999000"));
+        reply.accept(Wire.paramFrame("wal_time", "1796139999000"));
         assertEquals(RoutingPolicy.NONE, HostReports.position(reply, NOW));
     }
 
     @Test
     void anAnswersCommitIsInUnixMilliseconds() throws ProtocolException {
         Reply reply = new Reply();
-        reply.accept(Wire.parameter("mode", "read-write"));
-        reply.accept(Wire.parameter("wal_time", "1796133713021"));
+        reply.accept(Wire.paramFrame("mode", "read-write"));
+        reply.accept(Wire.paramFrame("wal_time", "1796133713021"));
         assertEquals(1_796_133_713_021_000_000L, HostReports.position(reply, NOW));
         assertEquals(Role.PRIMARY, HostReports.role(reply));
     }
@@ -74,8 +74,8 @@
         assertEquals(RoutingPolicy.NONE, HostReports.position(reply, NOW));
         assertEquals(Role.UNKNOWN, HostReports.role(reply));
         assertNull(HostReports.report(reply, NOW));
-        reply.accept(Wire.parameter("mode", "standby"));
-        reply.accept(Wire.parameter("wal_time", "0"));
+        reply.accept(Wire.paramFrame("mode", "standby"));
+        reply.accept(Wire.paramFrame("wal_time", "0"));
         assertEquals(Role.UNKNOWN, HostReports.role(reply));
         assertEquals(RoutingPolicy.NONE, HostReports.position(reply, NOW));
     }
--- a/router/src/test/java/ledgewall/net/OutcomesTest.java
+++ b/router/src/test/java/ledgewall/net/OutcomesTest.java
@@ -27,7 +27,7 @@
 import ledgewall.standin.Client;
 import ledgewall.standin.Message;
 import ledgewall.standin.ScriptedPolicy;
-import ledgewall.standin.StandInServer;
+import ledgewall.standin.StubServer;
 import ledgewall.standin.Wire;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -47,7 +47,7 @@
     }
 
     /** Sends one request to one host and tells what the policy heard of it. */
-    private Outcome outcome(StandInServer host) throws IOException, InterruptedException {
+    private Outcome outcome(StubServer host) throws IOException, InterruptedException {
         return outcome(rig.host("m", host), 0);
     }
 
@@ -59,19 +59,19 @@
     }
 
     private Outcome outcomeOfAnswer(byte[]... answer) throws IOException, InterruptedException {
-        return outcome(StandInServer.host((connection, sql) -> connection.write(answer)));
+        return outcome(StubServer.host((connection, sql) -> connection.write(answer)));
     }
 
     @Test
     void aRowIsServedAsTheHostGaveIt() throws IOException, InterruptedException {
         ScriptedPolicy policy = ScriptedPolicy.sendTo("m", 0);
-        rig.host("m", StandInServer.host((connection, sql) -> connection.write(Wire.set("mode", "read-write"),
-            Wire.row(VALUE), Wire.message('N', Wire.text("SNOTICE"), new byte[1]), Wire.set("wal_time", "1767225600123"),
+        rig.host("m", StubServer.host((connection, sql) -> connection.write(Wire.param("mode", "read-write"),
+            Wire.row(VALUE), Wire.message('N', Wire.text("SNOTICE"), new byte[1]), Wire.param("wal_time", "1767225600123"),
             Wire.ready())));
         rig.start(policy);
         Client client = rig.client();
         client.send(RouterHarness.look("1"));
-        List<Message> answer = client.untilReady();
+        List<Message> answer = client.readUntilReady();
         assertEquals("TDC", answer.stream().map(m -> "" + m.type()).reduce("", String::concat));
         assertArrayEquals(Wire.join(Wire.int16(1), Wire.int32(VALUE.length), VALUE), answer.get(1).body());
         Outcome outcome = policy.next(Outcome.class);
@@ -85,7 +85,7 @@
     @ParameterizedTest
     @CsvSource({"25006,MISSED", "72000,MISSED", "XX000,ERROR", "53300,REJECTED", "42P01,ERROR", "57P03,ERROR"})
     void anErrorsCodeSaysHowItEnded(String code, Result result) throws IOException, InterruptedException {
-        Outcome outcome = outcomeOfAnswer(Wire.error(code), Wire.set("mode", "read-only"), Wire.ready());
+        Outcome outcome = outcomeOfAnswer(Wire.error(code), Wire.param("mode", "read-only"), Wire.ready());
         assertEquals(result, outcome.result());
         assertFalse(outcome.complete());
         assertEquals(Role.REPLICA, outcome.role());
@@ -103,7 +103,7 @@
 
     @Test
     void aConnectionThatNeverComesUpNeverRan() throws IOException, InterruptedException {
-        rig.connectTimeout(50).host("m", new StandInServer(StandInServer.Connection::awaitEnd));
+        rig.connectTimeout(50).host("m", new StubServer(StubServer.Connection::awaitClose));
         assertEquals(Result.NOT_CONNECTED, outcome(rig, 0).result());
         assertEquals(1, rig.router().counts().of(AttemptOutcome.CONNECT_TIMED_OUT));
     }
@@ -133,7 +133,7 @@
 
     @Test
     void aConnectionThatEndsBeforeTheRequestIsWrittenNeverRan() throws IOException, InterruptedException {
-        Outcome outcome = outcome(new StandInServer(connection -> Message.read(connection.in(), false)));
+        Outcome outcome = outcome(new StubServer(connection -> Message.read(connection.in(), false)));
         assertEquals(Result.NOT_CONNECTED, outcome.result());
         assertEquals(1, rig.router().counts().of(AttemptOutcome.BROKEN_BEFORE_WRITTEN));
     }
@@ -141,7 +141,7 @@
     @ParameterizedTest
     @CsvSource({"53300,REJECTED", "57P03,NOT_CONNECTED", "28000,NOT_CONNECTED"})
     void aHostMayTurnAwayInsteadOfWelcoming(String code, Result result) throws IOException, InterruptedException {
-        assertEquals(result, outcome(new StandInServer(connection -> {
+        assertEquals(result, outcome(new StubServer(connection -> {
             Message.read(connection.in(), false);
             connection.write(Wire.error(code));
         })).result());
@@ -149,27 +149,27 @@
 
     @Test
     void aConnectionThatEndsAfterTheRequestMayHaveRun() throws IOException, InterruptedException {
-        assertEquals(Result.RESET, outcome(new StandInServer(connection -> {
-            connection.welcome();
-            connection.query();
+        assertEquals(Result.RESET, outcome(new StubServer(connection -> {
+            connection.acceptStartup();
+            connection.readQuery();
         })).result());
         assertEquals(1, rig.router().counts().of(AttemptOutcome.BROKEN_AFTER_WRITTEN));
     }
 
     @Test
     void halfAnAnswerAndThenTheEndIsNoAnswer() throws IOException, InterruptedException {
-        assertEquals(Result.RESET, outcome(new StandInServer(connection -> {
-            connection.welcome();
-            connection.query();
-            connection.write(Wire.description(), Wire.dataRow(VALUE));
+        assertEquals(Result.RESET, outcome(new StubServer(connection -> {
+            connection.acceptStartup();
+            connection.readQuery();
+            connection.write(Wire.rowDescription(), Wire.dataRow(VALUE));
         })).result());
     }
 
     @Test
     void anErrorAndThenTheEndStillSaysWhatItSaid() throws IOException, InterruptedException {
-        assertEquals(Result.REJECTED, outcome(new StandInServer(connection -> {
-            connection.welcome();
-            connection.query();
+        assertEquals(Result.REJECTED, outcome(new StubServer(connection -> {
+            connection.acceptStartup();
+            connection.readQuery();
             connection.write(Wire.error("53300"));
         })).result());
     }
@@ -181,9 +181,9 @@
         ScriptedPolicy policy = new ScriptedPolicy(event -> event instanceof Arrival arrival
             ? List.of(new RoutingPolicy.Send(arrival.request(), "m", 0))
             : event instanceof Outcome ? List.of(new RoutingPolicy.Disconnect("m")) : List.of());
-        rig.host("m", new StandInServer(connection -> {
-            connection.welcome();
-            connection.query();
+        rig.host("m", new StubServer(connection -> {
+            connection.acceptStartup();
+            connection.readQuery();
             connection.write(Wire.row(VALUE), Wire.ready());
             connection.reset();
         }));
@@ -191,16 +191,16 @@
         Client client = rig.client();
         for (int round = 0; round < 100; round++) {
             client.send(RouterHarness.look("" + round));
-            assertEquals("TDC", client.types(), "round " + round);
+            assertEquals("TDC", client.readTypesUntilReady(), "round " + round);
             assertEquals(Result.OK, policy.next(Outcome.class).result());
         }
     }
 
     @Test
     void aWholeRowCountsThoughItsEndNeverComes() throws IOException, InterruptedException {
-        Outcome outcome = outcome(new StandInServer(connection -> {
-            connection.welcome();
-            connection.query();
+        Outcome outcome = outcome(new StubServer(connection -> {
+            connection.acceptStartup();
+            connection.readQuery();
             connection.write(Wire.row(VALUE));
         }));
         assertEquals(Result.OK, outcome.result());
@@ -213,14 +213,14 @@
         byte[] bytes = switch (what) {
             case "garbage" -> new byte[] {'T', -1, -1, -1, -1, 0};
             case "oversize" -> Wire.join(new byte[] {'D'}, Wire.int32(1 << 24));
-            case "two rows" -> Wire.join(Wire.description(), Wire.dataRow(VALUE), Wire.dataRow(VALUE));
+            case "two rows" -> Wire.join(Wire.rowDescription(), Wire.dataRow(VALUE), Wire.dataRow(VALUE));
             case "two columns" -> Wire.message('T', Wire.int16(2));
             default -> Wire.ready();
         };
         CountDownLatch ended = new CountDownLatch(1);
-        Outcome outcome = outcome(StandInServer.host((connection, sql) -> {
+        Outcome outcome = outcome(StubServer.host((connection, sql) -> {
             connection.write(bytes);
-            connection.awaitEnd();
+            connection.awaitClose();
             ended.countDown();
         }));
         assertEquals(Result.RESET, outcome.result());
@@ -233,11 +233,11 @@
     @CsvSource({"08P01", "42601"})
     void aStatementThatNoMemberCanUseIsItsClientsFault(String code) throws IOException, InterruptedException {
         ScriptedPolicy policy = ScriptedPolicy.sendTo("m", 0);
-        rig.host("m", StandInServer.host((connection, sql) -> connection.write(Wire.error(code), Wire.ready())));
+        rig.host("m", StubServer.host((connection, sql) -> connection.write(Wire.error(code), Wire.ready())));
         rig.start(policy);
         Client client = rig.client();
         client.send(RouterHarness.look("1"));
-        assertEquals("42601", client.untilReady().get(0).field('C'));
+        assertEquals("42601", client.readUntilReady().get(0).field('C'));
         assertTrue(policy.next(Outcome.class).complete());
         assertEquals(1, rig.router().counts().of(AttemptOutcome.BAD_STATEMENT));
     }
@@ -249,14 +249,14 @@
     void noiseIsMetAtItsHeader(String what) throws IOException, InterruptedException {
         byte[] bytes = switch (what) {
             case "a type that is none" -> Wire.join(new byte[] {'q'}, Wire.int32(60_000), new byte[9]);
-            case "a value of 3 GB" -> Wire.join(Wire.description(), new byte[] {'D'}, Wire.int32(-1_294_967_296));
+            case "a value of 3 GB" -> Wire.join(Wire.rowDescription(), new byte[] {'D'}, Wire.int32(-1_294_967_296));
             case "a value before its description" -> Wire.join(new byte[] {'D'}, Wire.int32(60_000), new byte[9]);
-            case "a long tag" -> Wire.join(Wire.description(), Wire.dataRow(VALUE), new byte[] {'C'}, Wire.int32(9_000));
-            default -> Wire.join(java.util.Collections.nCopies(100, Wire.set("a", "b")).toArray(new byte[0][]));
+            case "a long tag" -> Wire.join(Wire.rowDescription(), Wire.dataRow(VALUE), new byte[] {'C'}, Wire.int32(9_000));
+            default -> Wire.join(java.util.Collections.nCopies(100, Wire.param("a", "b")).toArray(new byte[0][]));
         };
-        Outcome outcome = outcome(StandInServer.host((connection, sql) -> {
+        Outcome outcome = outcome(StubServer.host((connection, sql) -> {
             connection.write(bytes);
-            connection.awaitEnd();
+            connection.awaitClose();
         }));
         assertEquals(Result.RESET, outcome.result());
         assertEquals(1, rig.router().counts().of(AttemptOutcome.GARBLED));
@@ -267,7 +267,7 @@
     @CsvSource({"copy", "late copy", "half a copy", "late half", "noise"})
     void whatComesBehindAnAnswerReachesNobody(String what) throws IOException, InterruptedException {
         ScriptedPolicy policy = ScriptedPolicy.sendTo("m", 0);
-        rig.host("m", StandInServer.host((connection, sql) -> {
+        rig.host("m", StubServer.host((connection, sql) -> {
             byte[] answer = Wire.join(Wire.row(sql.substring(6, 9).getBytes(java.nio.charset.StandardCharsets.US_ASCII)),
                 Wire.ready());
             byte[] more = what.contains("copy") && !what.contains("half") ? answer
@@ -283,7 +283,7 @@
         Client client = rig.client();
         for (int round = 100; round < 160; round++) {
             client.send(RouterHarness.look("" + round));
-            byte[] body = client.untilReady().get(1).body();
+            byte[] body = client.readUntilReady().get(1).body();
             assertEquals("" + round, new String(body, 6, body.length - 6, java.nio.charset.StandardCharsets.US_ASCII));
         }
         assertTrue(rig.router().counts().of(Counters.Count.HOST_CONNECTIONS) > 30, "such a connection is not used again");
@@ -292,8 +292,8 @@
     @Test
     void silenceTimesOutAndClosesTheConnection() throws IOException, InterruptedException {
         CountDownLatch ended = new CountDownLatch(1);
-        rig.host("m", StandInServer.host((connection, sql) -> {
-            connection.awaitEnd();
+        rig.host("m", StubServer.host((connection, sql) -> {
+            connection.awaitClose();
             ended.countDown();
         }));
         Outcome outcome = outcome(rig, 30 * RouterHarness.MS);
@@ -305,7 +305,7 @@
     @Test
     void theHostIsToldHowLongTheRouterWaits() throws IOException, InterruptedException {
         BlockingQueue<String> queries = new LinkedBlockingQueue<>();
-        rig.host("m", StandInServer.host((connection, sql) -> {
+        rig.host("m", StubServer.host((connection, sql) -> {
             queries.add(sql);
             connection.write(Wire.row(VALUE), Wire.ready());
         }));
@@ -318,9 +318,9 @@
         CountDownLatch ended = new CountDownLatch(1);
         ScriptedPolicy policy = ScriptedPolicy.sendTo("m", 0);
         CountDownLatch asked = new CountDownLatch(1);
-        rig.host("m", StandInServer.host((connection, sql) -> {
+        rig.host("m", StubServer.host((connection, sql) -> {
             asked.countDown();
-            connection.awaitEnd();
+            connection.awaitClose();
             ended.countDown();
         }));
         rig.start(policy);
@@ -328,12 +328,12 @@
         client.send(RouterHarness.look("1"));
         long request = policy.next(Arrival.class).request();
         assertTrue(asked.await(20, TimeUnit.SECONDS));
-        policy.command(new RoutingPolicy.Cancel(request, 0), new RoutingPolicy.Cancel(request, 0),
+        policy.submit(new RoutingPolicy.Cancel(request, 0), new RoutingPolicy.Cancel(request, 0),
             new RoutingPolicy.Cancel(request, 5), new RoutingPolicy.Fail(request));
         assertEquals(Result.CANCELLED, policy.next(Outcome.class).result());
         assertTrue(ended.await(20, TimeUnit.SECONDS));
-        assertEquals("E", client.types());
-        assertFalse(policy.hasHeard(Outcome.class));
+        assertEquals("E", client.readTypesUntilReady());
+        assertFalse(policy.hasReceived(Outcome.class));
     }
 
     @Test
@@ -342,14 +342,14 @@
         ScriptedPolicy policy = new ScriptedPolicy(event -> event instanceof Arrival arrival
             ? List.of(new RoutingPolicy.Send(arrival.request(), "slow", 0), new RoutingPolicy.Send(arrival.request(), "m", 0))
             : List.of());
-        rig.host("slow", StandInServer.host((connection, sql) -> {
+        rig.host("slow", StubServer.host((connection, sql) -> {
             await(release);
             connection.write(Wire.row(new byte[] {1}), Wire.ready());
-        })).host("m", StandInServer.host((connection, sql) -> connection.write(Wire.row(VALUE), Wire.ready())));
+        })).host("m", StubServer.host((connection, sql) -> connection.write(Wire.row(VALUE), Wire.ready())));
         rig.start(policy);
         Client client = rig.client();
         client.send(RouterHarness.look("1"));
-        assertEquals("TDC", client.types());
+        assertEquals("TDC", client.readTypesUntilReady());
         Outcome first = policy.next(Outcome.class);
         assertEquals("m", first.member());
         release.countDown();
@@ -357,7 +357,7 @@
         assertEquals(Result.OK, second.result());
         assertTrue(second.complete());
         client.send(Wire.query(""));
-        assertEquals("I", client.types()); // nothing of the late row came before it
+        assertEquals("I", client.readTypesUntilReady()); // nothing of the late row came before it
     }
 
     static void await(CountDownLatch latch) {
@@ -376,7 +376,7 @@
                 new RoutingPolicy.Send(arrival.request(), "m", 0), new RoutingPolicy.Fail(arrival.request()),
                 new RoutingPolicy.Send(arrival.request(), "m", 0), new RoutingPolicy.Send(99, "m", 0))
             : List.of());
-        rig.oneAttemptAtATime().host("m", StandInServer.host((connection, sql) ->
+        rig.oneAttemptAtATime().host("m", StubServer.host((connection, sql) ->
             connection.write(Wire.row(VALUE), Wire.ready())));
         rig.start(policy);
         rig.client().send(RouterHarness.look("1"));
@@ -394,7 +394,7 @@
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         ScriptedPolicy policy = ScriptedPolicy.sendTo("m", 0);
-        rig.host("m", StandInServer.host((connection, sql) -> {
+        rig.host("m", StubServer.host((connection, sql) -> {
             asked.countDown();
             await(release);
             connection.write(Wire.row(VALUE), Wire.ready());
@@ -416,7 +416,7 @@
     void connectionsAreKeptAndUsedAgainOnceTheyHaveRested() throws IOException, InterruptedException {
         BlockingQueue<Integer> used = new LinkedBlockingQueue<>();
         CountDownLatch both = new CountDownLatch(2);
-        StandInServer host = StandInServer.host((connection, sql) -> {
+        StubServer host = StubServer.host((connection, sql) -> {
             used.add(connection.number());
             if (sql.contains("id=a")) {
                 both.countDown();
@@ -432,23 +432,23 @@
         Client two = rig.client();
         one.send(RouterHarness.look("a1"));
         two.send(RouterHarness.look("a2"));
-        assertEquals("TDC", one.types());
-        assertEquals("TDC", two.types());
+        assertEquals("TDC", one.readTypesUntilReady());
+        assertEquals("TDC", two.readTypesUntilReady());
         used.clear();
         for (int i = 0; i < 4; i++) {
             one.send(RouterHarness.look("b" + i));
-            assertEquals("TDC", one.types());
+            assertEquals("TDC", one.readTypesUntilReady());
         }
-        assertTrue(host.accepted() <= 3, "one more at most, for the first that follows at once");
+        assertTrue(host.acceptedCount() <= 3, "one more at most, for the first that follows at once");
         assertTrue(Set.copyOf(used).size() <= 2);
     }
 
     @Test
     void connectionsRetireBeforeTheHostClosesThem() throws IOException, InterruptedException {
         CountDownLatch ended = new CountDownLatch(1);
-        StandInServer host = new StandInServer(connection -> {
-            connection.welcome();
-            while (connection.query() != null) {
+        StubServer host = new StubServer(connection -> {
+            connection.acceptStartup();
+            while (connection.readQuery() != null) {
                 connection.write(Wire.row(VALUE), Wire.ready());
             }
             ended.countDown();
@@ -457,19 +457,19 @@
         rig.idle(100).host("m", host).start(policy);
         Client client = rig.client();
         client.send(RouterHarness.look("1"));
-        assertEquals("TDC", client.types());
+        assertEquals("TDC", client.readTypesUntilReady());
         assertTrue(ended.await(20, TimeUnit.SECONDS));
         client.send(RouterHarness.look("2"));
-        assertEquals("TDC", client.types());
-        assertNotEquals(1, host.accepted());
+        assertEquals("TDC", client.readTypesUntilReady());
+        assertNotEquals(1, host.acceptedCount());
     }
 
     @Test
     void anIdleConnectionThatTheHostClosesIsNotUsedAgain() throws IOException, InterruptedException {
         CountDownLatch closed = new CountDownLatch(1);
-        StandInServer host = new StandInServer(connection -> {
-            connection.welcome();
-            connection.query();
+        StubServer host = new StubServer(connection -> {
+            connection.acceptStartup();
+            connection.readQuery();
             connection.write(Wire.row(VALUE), Wire.ready(), Wire.error("57P01"));
             closed.countDown();
         });
@@ -478,41 +478,41 @@
         Client client = rig.client();
         for (int i = 0; i < 20; i++) {
             client.send(RouterHarness.look("" + i));
-            assertEquals("TDC", client.types());
+            assertEquals("TDC", client.readTypesUntilReady());
             assertTrue(closed.await(20, TimeUnit.SECONDS));
         }
-        assertEquals(20, host.accepted());
+        assertEquals(20, host.acceptedCount());
     }
 
     @Test
     void aMemberThatMovesIsReachedAtItsNewAddress() throws IOException, InterruptedException {
-        StandInServer second = StandInServer.host((connection, sql) -> connection.write(Wire.row(VALUE), Wire.ready()));
+        StubServer second = StubServer.host((connection, sql) -> connection.write(Wire.row(VALUE), Wire.ready()));
         CountDownLatch ended = new CountDownLatch(1);
         CountDownLatch moves = new CountDownLatch(1);
         ScriptedPolicy policy = ScriptedPolicy.sendTo("m", 0);
-        rig.host("spare", second).host("m", new StandInServer(connection -> {
-            connection.welcome();
-            connection.query();
+        rig.host("spare", second).host("m", new StubServer(connection -> {
+            connection.acceptStartup();
+            connection.readQuery();
             connection.write(Wire.row(VALUE), Wire.ready());
-            connection.awaitEnd();
+            connection.awaitClose();
             ended.countDown();
         })).discovery(connection -> {
             await(moves);
             String line = "{\"revision\":42,\"complete\":false,\"members\":["
                 + RouterHarness.entry("m", second.address(), "Ready", 0) + "]}\n";
             connection.write(("HTTP/1.1 200 OK\r\n\r\n" + line).getBytes(java.nio.charset.StandardCharsets.US_ASCII));
-            connection.awaitEnd();
+            connection.awaitClose();
         });
         rig.start(policy);
         policy.next(RoutingPolicy.MemberList.class);
         Client client = rig.client();
         client.send(RouterHarness.look("1"));
-        assertEquals("TDC", client.types());
+        assertEquals("TDC", client.readTypesUntilReady());
         moves.countDown();
         policy.next(RoutingPolicy.MemberList.class);
         assertTrue(ended.await(20, TimeUnit.SECONDS));
         client.send(RouterHarness.look("2"));
-        assertEquals("TDC", client.types());
-        assertEquals(1, second.accepted());
+        assertEquals("TDC", client.readTypesUntilReady());
+        assertEquals(1, second.acceptedCount());
     }
 }
--- a/router/src/test/java/ledgewall/net/PeersTest.java
+++ b/router/src/test/java/ledgewall/net/PeersTest.java
@@ -47,7 +47,7 @@
         try (DatagramSocket one = socket(); DatagramSocket everyone = socket(); DatagramSocket stranger = socket()) {
             rig.peers("\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:1\",\"" + address(one)
                 + "\"],\"peers_all\":\"" + address(everyone) + "\",").start(policy);
-            policy.command(new RoutingPolicy.Tell(1, new byte[] {1, 2}), new RoutingPolicy.Tell(7, new byte[1]),
+            policy.submit(new RoutingPolicy.Tell(1, new byte[] {1, 2}), new RoutingPolicy.Tell(7, new byte[1]),
                 new RoutingPolicy.Tell(1, new byte[257]), new RoutingPolicy.Tell(RoutingPolicy.NONE, new byte[] {3}));
             assertArrayEquals(new byte[] {1, 2}, receive(one));
             assertArrayEquals(new byte[] {3}, receive(everyone));
--- a/router/src/test/java/ledgewall/net/PlainTest.java
+++ b/router/src/test/java/ledgewall/net/PlainTest.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicInteger;
 import ledgewall.RoutingPolicy.Arrival;
-import ledgewall.pg.Classified;
+import ledgewall.pg.Classification;
 import ledgewall.standin.Client;
 import ledgewall.standin.Message;
 import ledgewall.standin.ScriptedPolicy;
-import ledgewall.standin.StandInServer;
+import ledgewall.standin.StubServer;
 import ledgewall.standin.Wire;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -37,7 +37,7 @@
                 asked.add(request);
                 return request.sql().contains("unknown") ? new Unknown("nobody knows")
                     : request.sql().contains("too much") ? new Limited(1_500_000)
-                    : new Known(new Classified(className, "acme", 2, request.user(), 60_000, false), over::incrementAndGet);
+                    : new Known(new Classification(className, "acme", 2, request.user(), 60_000, false), over::incrementAndGet);
             }
 
             @Override
@@ -54,7 +54,7 @@
 
     private ScriptedPolicy start() throws IOException {
         ScriptedPolicy policy = ScriptedPolicy.sendTo("m", 0);
-        rig.host("m", StandInServer.host((connection, sql) -> {
+        rig.host("m", StubServer.host((connection, sql) -> {
             arrived.add(sql);
             connection.write(Wire.row(new byte[] {'v'}), Wire.ready());
         })).classifier(classifier("look")).start(policy);
@@ -67,7 +67,7 @@
         Client client = rig.client();
         String sql = "SELECT data FROM bays WHERE id = 'k1'";
         client.send(Wire.query(sql));
-        assertEquals("TDC", client.types());
+        assertEquals("TDC", client.readTypesUntilReady());
         assertEquals(sql, arrived.take());
         Arrival arrival = policy.next(Arrival.class);
         assertEquals(0, arrival.requestClass());
@@ -78,7 +78,7 @@
         assertEquals("127.0.0.1", asked.get(0).address());
         assertEquals(List.of("bays"), asked.get(0).summary().tables());
         client.send(Wire.query(sql));
-        assertEquals("TDC", client.types());
+        assertEquals("TDC", client.readTypesUntilReady());
         assertEquals(2, over.get());
     }
 
@@ -88,12 +88,12 @@
         Client client = rig.client();
         String fields = "id=1,c=own,t=zeta,d=60000,cluster=2";
         client.send(Wire.query(RouterHarness.sql(fields)));
-        assertEquals("TDC", client.types());
+        assertEquals("TDC", client.readTypesUntilReady());
         assertEquals(2, policy.next(Arrival.class).requestClass());
         assertEquals(0, asked.size());
         overrides = true;
         client.send(Wire.query(RouterHarness.sql(fields.replace("id=1", "id=2"))));
-        assertEquals("TDC", client.types());
+        assertEquals("TDC", client.readTypesUntilReady());
         assertEquals(0, policy.next(Arrival.class).requestClass());
         assertEquals("own", asked.get(0).comment().get("c"));
         arrived.take();
@@ -107,11 +107,11 @@
         Client client = rig.client();
         String sql = "/* lot=songshan, d=soon */ SELECT data FROM bays";
         client.send(Wire.query(sql));
-        assertEquals("TDC", client.types());
+        assertEquals("TDC", client.readTypesUntilReady());
         assertEquals(sql, arrived.take());
         assertEquals("songshan", asked.get(0).comment().get("lot"));
         client.send(Wire.query("/* a=1,a=2 */ SELECT data FROM bays"));
-        assertEquals("TDC", client.types());
+        assertEquals("TDC", client.readTypesUntilReady());
         assertTrue(asked.get(1).comment().isEmpty());
     }
 
@@ -120,15 +120,15 @@
         start();
         Client client = rig.client();
         client.send(Wire.query("SELECT 'unknown'"));
-        Message unknown = client.untilReady().get(0);
+        Message unknown = client.readUntilReady().get(0);
         assertTrue(unknown.text().contains("42601") && unknown.text().contains("nobody knows"), unknown.text());
         client.send(Wire.query("SELECT 'too much'"));
-        Message limited = client.untilReady().get(0);
+        Message limited = client.readUntilReady().get(0);
         assertTrue(limited.text().contains("53300") && limited.text().contains("D2\0"), limited.text());
         client.send(Wire.query("BEGIN"));
-        assertTrue(client.untilReady().get(0).text().contains("0A000"));
+        assertTrue(client.readUntilReady().get(0).text().contains("0A000"));
         client.send(Wire.query("SELECT 1; DELETE FROM bays"));
-        assertTrue(client.untilReady().get(0).text().contains("42601"));
+        assertTrue(client.readUntilReady().get(0).text().contains("42601"));
         assertTrue(arrived.isEmpty());
         assertEquals(1, rig.router().counts().of(Counters.Count.LIMITED));
         assertEquals(0, over.get());
@@ -139,7 +139,7 @@
         rig.member("m", "127.0.0.1:9").start(ScriptedPolicy.idle());
         Client client = rig.client();
         client.send(Wire.query("SELECT 1"));
-        assertTrue(client.untilReady().get(0).text().contains("42601"));
+        assertTrue(client.readUntilReady().get(0).text().contains("42601"));
     }
 
     @Test
@@ -155,9 +155,9 @@
         second.send(Wire.query("SELECT 1"));
         assertEquals(1, policy.next(Arrival.class).requestClass());
         assertEquals(0, over.get());
-        policy.command(new ledgewall.RoutingPolicy.Refuse(first.request(), 0));
-        assertEquals("E", client.types());
+        policy.submit(new ledgewall.RoutingPolicy.Refuse(first.request(), 0));
+        assertEquals("E", client.readTypesUntilReady());
         assertEquals(1, over.get());
-        assertFalse(policy.hasHeard(Arrival.class));
+        assertFalse(policy.hasReceived(Arrival.class));
     }
 }
--- a/router/src/test/java/ledgewall/net/ProbesTest.java
+++ b/router/src/test/java/ledgewall/net/ProbesTest.java
@@ -13,7 +13,7 @@
 import ledgewall.RoutingPolicy.Result;
 import ledgewall.RoutingPolicy.Role;
 import ledgewall.standin.ScriptedPolicy;
-import ledgewall.standin.StandInServer;
+import ledgewall.standin.StubServer;
 import ledgewall.standin.Wire;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -31,9 +31,9 @@
         rig.close();
     }
 
-    private ProbeResult probe(StandInServer host) throws IOException, InterruptedException {
+    private ProbeResult probe(StubServer host) throws IOException, InterruptedException {
         rig.host("m", host).start(policy);
-        policy.command(new RoutingPolicy.Probe("m"));
+        policy.submit(new RoutingPolicy.Probe("m"));
         return policy.next(ProbeResult.class);
     }
 
@@ -44,7 +44,7 @@
     @Test
     void aReportIsAskedForOverOneKeptConnection() throws IOException, InterruptedException {
         BlockingQueue<String> queries = new LinkedBlockingQueue<>();
-        StandInServer host = StandInServer.host((connection, sql) -> {
+        StubServer host = StubServer.host((connection, sql) -> {
             queries.add(sql);
             connection.write(report("x0=1767225600.123,x1=1"), Wire.ready());
         });
@@ -53,16 +53,16 @@
         assertEquals(1_767_225_600_123_000_000L, result.report().position());
         assertEquals(Role.PRIMARY, result.report().role());
         assertTrue(result.elapsed() > 0);
-        policy.command(new RoutingPolicy.Probe("m"));
+        policy.submit(new RoutingPolicy.Probe("m"));
         policy.next(ProbeResult.class);
-        assertEquals(1, host.accepted());
+        assertEquals(1, host.acceptedCount());
         assertEquals("SHOW stats", queries.take());
     }
 
     @ParameterizedTest
     @CsvSource({"57P03,REJECTED", "53300,REJECTED", "42501,ERROR"})
     void anErrorSaysHowTheMemberIs(String code, Result result) throws IOException, InterruptedException {
-        ProbeResult probe = probe(StandInServer.host((connection, sql) -> connection.write(Wire.error(code), Wire.ready())));
+        ProbeResult probe = probe(StubServer.host((connection, sql) -> connection.write(Wire.error(code), Wire.ready())));
         assertEquals(result, probe.result());
         assertNull(probe.report());
     }
@@ -70,51 +70,51 @@
     @Test
     void silenceTimesOutAndTheConnectionIsNotUsedAgain() throws IOException, InterruptedException {
         rig.connectTimeout(40);
-        StandInServer host = StandInServer.host((connection, sql) -> {
+        StubServer host = StubServer.host((connection, sql) -> {
             if (connection.number() == 1) {
-                connection.awaitEnd();
+                connection.awaitClose();
             }
             connection.write(report("x1=0"), Wire.ready());
         });
         assertEquals(Result.TIMED_OUT, probe(host).result());
-        policy.command(new RoutingPolicy.Probe("m"));
+        policy.submit(new RoutingPolicy.Probe("m"));
         policy.next(ProbeResult.class);
-        assertEquals(2, host.accepted());
+        assertEquals(2, host.acceptedCount());
     }
 
     @Test
     void aMemberThatIsNotThereIsNotConnected() throws IOException, InterruptedException {
-        StandInServer host = StandInServer.host((connection, sql) -> { });
+        StubServer host = StubServer.host((connection, sql) -> { });
         host.close();
         assertEquals(Result.NOT_CONNECTED, probe(host).result());
     }
 
     @Test
     void disconnectClosesIdleConnectionsOfRequests() throws IOException, InterruptedException {
-        StandInServer host = StandInServer.host((connection, sql) -> connection.write(report("x1=0"), Wire.ready()));
+        StubServer host = StubServer.host((connection, sql) -> connection.write(report("x1=0"), Wire.ready()));
         ScriptedPolicy sends = ScriptedPolicy.sendTo("m", 0);
         rig.host("m", host).start(sends);
         rig.client().send(RouterHarness.look("1"));
         sends.next(RoutingPolicy.Outcome.class);
-        sends.command(new RoutingPolicy.Disconnect("m"), new RoutingPolicy.Disconnect("unknown"),
+        sends.submit(new RoutingPolicy.Disconnect("m"), new RoutingPolicy.Disconnect("unknown"),
             new RoutingPolicy.Probe("unknown"), new RoutingPolicy.Note("noted"), new RoutingPolicy.Probe("m"));
         sends.next(ProbeResult.class);
         rig.client().send(RouterHarness.look("2"));
         sends.next(RoutingPolicy.Outcome.class);
-        assertEquals(2, host.accepted()); // one closed, one for the probe and the read behind it
+        assertEquals(2, host.acceptedCount()); // one closed, one for the probe and the read behind it
     }
 
     /** A read follows a probe on its connection at once, and may meet a second copy of the probe's answer there. */
     @Test
     void aProbesAnswerNeverPassesForARequests() throws IOException, InterruptedException {
-        StandInServer host = StandInServer.host((connection, sql) ->
+        StubServer host = StubServer.host((connection, sql) ->
             connection.write(report("x0=1767225600.123,x1=1"), Wire.ready()));
         ScriptedPolicy sends = ScriptedPolicy.sendTo("m", 0);
         rig.host("m", host).start(sends);
-        sends.command(new RoutingPolicy.Probe("m"));
+        sends.submit(new RoutingPolicy.Probe("m"));
         sends.next(ProbeResult.class);
         rig.client().send(RouterHarness.look("1"));
         assertEquals(Result.RESET, sends.next(RoutingPolicy.Outcome.class).result());
-        assertEquals(1, host.accepted());
+        assertEquals(1, host.acceptedCount());
     }
 }
--- a/router/src/test/java/ledgewall/net/RouterHarness.java
+++ b/router/src/test/java/ledgewall/net/RouterHarness.java
@@ -8,18 +8,18 @@
 import ledgewall.RoutingPolicy;
 import ledgewall.discovery.MemberListWatcher;
 import ledgewall.standin.Client;
-import ledgewall.standin.StandInServer;
+import ledgewall.standin.StubServer;
 import ledgewall.standin.Wire;
 
 /** A router with a scripted policy between stand-ins, closed together at the end of a test. */
 final class RouterHarness implements Closeable {
     static final long MS = 1_000_000L;
     /** Waits for watches and says nothing. */
-    private static final StandInServer.Script SILENT = StandInServer.Connection::awaitEnd;
+    private static final StubServer.Script SILENT = StubServer.Connection::awaitClose;
 
     private final List<Closeable> parts = new ArrayList<>();
     private final List<String> members = new ArrayList<>();
-    private StandInServer discovery;
+    private StubServer discovery;
     private long connectTimeoutMs = 10_000;
     private long idleMs = 60_000;
     private int sockets = 1_024;
@@ -32,7 +32,7 @@
     private Classifier classifier;
     private Router router;
 
-    RouterHarness host(String id, StandInServer host) {
+    RouterHarness host(String id, StubServer host) {
         parts.add(host::close);
         return member(id, host.address());
     }
@@ -47,8 +47,8 @@
             + "\"cell\":2,\"phase\":\"" + phase + "\",\"size\":1.0,\"up_since_ms\":" + up + "}";
     }
 
-    RouterHarness discovery(StandInServer.Script script) throws IOException {
-        discovery = new StandInServer(script);
+    RouterHarness discovery(StubServer.Script script) throws IOException {
+        discovery = new StubServer(script);
         parts.add(discovery::close);
         return this;
     }
@@ -140,7 +140,7 @@
     }
 
     Client client() throws IOException {
-        Client client = Client.started(router.listening());
+        Client client = Client.connect(router.listening());
         parts.add(0, client::close);
         return client;
     }
--- a/router/src/test/java/ledgewall/net/StopTest.java
+++ b/router/src/test/java/ledgewall/net/StopTest.java
@@ -12,7 +12,7 @@
 import ledgewall.RoutingPolicy.Arrival;
 import ledgewall.standin.Client;
 import ledgewall.standin.ScriptedPolicy;
-import ledgewall.standin.StandInServer;
+import ledgewall.standin.StubServer;
 import ledgewall.standin.Wire;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -35,7 +35,7 @@
         InetSocketAddress address = router.listening();
         router.drain();
         router.drain();
-        assertTrue(idle.atEnd());
+        assertTrue(idle.endOfStream());
         router.awaitClosed();
         assertThrows(ConnectException.class, () -> new Client(address));
         assertTrue(router.counters().contains("clients=1"));
@@ -45,7 +45,7 @@
     void whatIsInFlightIsAnsweredAndThenItsConnectionCloses() throws IOException, InterruptedException {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
-        rig.host("m", StandInServer.host((connection, sql) -> {
+        rig.host("m", StubServer.host((connection, sql) -> {
             asked.countDown();
             try {
                 assertTrue(release.await(20, TimeUnit.SECONDS));
@@ -60,8 +60,8 @@
         assertTrue(asked.await(20, TimeUnit.SECONDS));
         router.drain();
         release.countDown();
-        assertEquals("TDC", client.types());
-        assertTrue(client.atEnd());
+        assertEquals("TDC", client.readTypesUntilReady());
+        assertTrue(client.endOfStream());
         router.awaitClosed();
         assertEquals(1, router.counts().of(Counters.Count.SERVED));
         assertEquals(0, router.counts().of(Counters.Count.LAPSED));
@@ -69,19 +69,19 @@
 
     @Test
     void clientsAreServedOnForAWhileOnOldConnectionsAndOnNewOnes() throws IOException, InterruptedException {
-        rig.host("m", StandInServer.host((connection, sql) -> connection.write(Wire.row(new byte[] {5}), Wire.ready())));
+        rig.host("m", StubServer.host((connection, sql) -> connection.write(Wire.row(new byte[] {5}), Wire.ready())));
         Router router = rig.start(ScriptedPolicy.sendTo("m", 0));
         Client old = rig.client();
         router.drain();
         Client late = rig.client();
         for (int i = 0; i < 3; i++) { // other routers may be restarting too
             old.send(RouterHarness.look("old" + i));
-            assertEquals("TDC", old.types());
+            assertEquals("TDC", old.readTypesUntilReady());
             late.send(RouterHarness.look("late" + i));
-            assertEquals("TDC", late.types());
+            assertEquals("TDC", late.readTypesUntilReady());
         }
-        assertTrue(old.atEnd());
-        assertTrue(late.atEnd());
+        assertTrue(old.endOfStream());
+        assertTrue(late.endOfStream());
         router.awaitClosed();
         assertEquals(6, router.counts().of(Counters.Count.SERVED));
     }
@@ -94,8 +94,8 @@
         client.send(RouterHarness.look("1"));
         policy.next(Arrival.class);
         router.drain();
-        assertEquals("08006", client.untilReady().get(0).field('C'));
+        assertEquals("08006", client.readUntilReady().get(0).field('C'));
         router.awaitClosed();
-        assertTrue(client.atEnd());
+        assertTrue(client.endOfStream());
     }
 }
