--- a/router/src/main/java/ledgewall/discovery/HttpException.java
+++ b/router/src/main/java/ledgewall/discovery/HttpException.java
@@ -1,6 +1,6 @@
 package ledgewall.discovery;
 
-/** An answer that is no HTTP/1.1, or not one that this reader follows. */
+/** Thrown for a response that is not valid HTTP/1.x or uses a feature that {@link HttpResponseParser} does not support. */
 public final class HttpException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/ledgewall/discovery/ListParser.java
+++ b/router/src/main/java/ledgewall/discovery/ListParser.java
@@ -4,28 +4,32 @@
 import ledgewall.settings.Fields;
 import ledgewall.settings.FormatException;
 
-/** Reads lists and changes from JSON. */
+/** Parses a complete JSON document from discovery, or the list that a configuration holds, into a {@link ListUpdate}. */
 public final class ListParser {
-    /** A number that ends the text is whole only once something follows it. */
-    private static final byte[] END = {'\n'};
+    /** Fed after the document, because the JSON parser reports a trailing number only once another byte follows it. */
+    private static final byte[] TERMINATOR = {'\n'};
 
     private ListParser() {
     }
 
-    /** Reads one object of discovery's; anything else is a {@link FormatException}. */
-    public static ListUpdate parse(byte[] bytes) {
-        ListReader reader = new ListReader();
-        reader.body(bytes, 0, bytes.length);
-        reader.body(END, 0, END.length);
-        List<ListUpdate> updates = reader.take();
-        if (updates.size() != 1 || reader.isPartial()) {
-            throw new FormatException("discovery: not one JSON object");
+    /**
+     * Parses exactly one JSON object.
+     *
+     * @throws FormatException if the input is anything else
+     */
+    public static ListUpdate parse(byte[] json) {
+        ListStreamParser parser = new ListStreamParser();
+        parser.accept(json, 0, json.length);
+        parser.accept(TERMINATOR, 0, TERMINATOR.length);
+        List<ListUpdate> updates = parser.takeUpdates();
+        if (updates.size() != 1 || parser.isPartial()) {
+            throw new FormatException("discovery: not a single JSON object");
         }
         return updates.get(0);
     }
 
-    /** Reads a list that has been read as an object already. */
-    public static ListUpdate read(Fields fields) {
+    /** Converts a list whose JSON object has been parsed already. */
+    public static ListUpdate fromFields(Fields fields) {
         if (!fields.has("members")) {
             throw new FormatException(fields.where() + ": lacks 'members'");
         }
@@ -40,12 +44,12 @@
             "read-write".equals(entry.text("mode", "")), entry.integer("up_since_ms", 0));
     }
 
-    private static Member.Phase phase(Fields entry, String word) {
-        return switch (word) {
+    private static Member.Phase phase(Fields entry, String name) {
+        return switch (name) {
             case "Ready" -> Member.Phase.READY;
             case "Terminating" -> Member.Phase.TERMINATING;
             case "Gone" -> Member.Phase.GONE;
-            default -> throw new FormatException(entry.where() + ": unknown phase '" + word + "'");
+            default -> throw new FormatException(entry.where() + ": unknown phase '" + name + "'");
         };
     }
 }
--- a/router/src/main/java/ledgewall/discovery/MemberListWatcher.java
+++ b/router/src/main/java/ledgewall/discovery/MemberListWatcher.java
@@ -10,74 +10,81 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides how the list is followed, so that what a router knows never hangs on one connection being well: a watch, and
- * beside it each second a short question from the revision known. It does no I/O and has no clock: it is told what came
- * and when, and returns the steps to take, in order. How long each way of missing a change lasts stands in
- * docs/architecture.md.
+ * Decides how the member list is followed. A watch delivers each change as it happens; a short check every second asks for
+ * changes since the known revision, so that a single failing connection cannot hide a change. This class does no I/O and
+ * reads no clock: it is told what arrived and when, and returns the steps to carry out, in order. All times are nanoseconds
+ * on one monotonic clock. docs/architecture.md lists the ways in which a change can be missed and how long each one lasts.
  */
 public final class MemberListWatcher {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000 * NANOS_PER_MILLI;
     private static final long NEVER = Long.MAX_VALUE;
-    /** A revision before any. */
-    private static final long NOTHING = -1;
+    /** Lower than every revision. */
+    private static final long NO_REVISION = -1;
     private static final String PATH = "/catalog/members";
-    /** An agent answers at once; so long without a byte where something is owed, and it is asked anew. */
-    private static final long QUIET = 1_000 * MS;
-    /** A watch tells something every 2 s; half as long again without a byte is silence. */
-    private static final long SILENCE = 3_000 * MS;
-    /** By then something that has begun is whole, or so much more of it has come: a large list takes longer, a drip ends. */
-    private static final long LONGEST_STEP = 4_000 * MS;
-    private static final int LEAST_STEP_BYTES = 32 * 1024;
-    /** How long a watch at the address before is kept where the one at the new address says nothing yet. */
-    private static final long LONGEST_MOVE = 5_000 * MS;
-    private static final long FIRST_GAP = 100 * MS;
-    private static final long LONGEST_GAP = 500 * MS;
-    /** The whole list, which also shows what no revision tells, is asked for after so many checks at the earliest. */
-    private static final int WHOLE_EVERY = 5;
-    /** Bytes a second that whole lists may come to in the mean, and bytes of one entry, about. */
-    private static final long WHOLE_BYTES_PER_SECOND = 4_096;
+    /** Longest time without a byte while an answer is outstanding or incomplete; the discovery agent answers at once. */
+    private static final long RESPONSE_TIMEOUT_NS = 1_000 * NANOS_PER_MILLI;
+    /** Longest time without a byte on an idle watch, which carries at least an empty line every 2 s. */
+    private static final long IDLE_TIMEOUT_NS = 3_000 * NANOS_PER_MILLI;
+    /**
+     * Longest time in which an answer that has begun must be completed or must progress by {@link #MIN_PROGRESS_BYTES}.
+     * A large list may take longer as a whole; an answer that trickles in without end is cancelled.
+     */
+    private static final long PROGRESS_TIMEOUT_NS = 4_000 * NANOS_PER_MILLI;
+    private static final int MIN_PROGRESS_BYTES = 32 * 1024;
+    /** Longest time for which the watch at the previous address is kept while the one at the new address sends no list. */
+    private static final long ADDRESS_CHANGE_TIMEOUT_NS = 5_000 * NANOS_PER_MILLI;
+    private static final long MIN_BACKOFF_NS = 100 * NANOS_PER_MILLI;
+    private static final long MAX_BACKOFF_NS = 500 * NANOS_PER_MILLI;
+    /** Fewest checks between two requests for the full list, which also shows differences that no revision reports. */
+    private static final int MIN_CHECKS_PER_FULL_LIST = 5;
+    /** Mean rate to which full lists are limited. */
+    private static final long FULL_LIST_BYTES_PER_SECOND = 4_096;
+    /** Approximate size of one entry in a list. */
     private static final long ENTRY_BYTES = 192;
-    private static final long SECOND = 1_000 * MS;
-    /** Checks that are answered with the whole list come no further apart: a watch may have fallen silent. */
-    private static final long LONGEST_CHECK_GAP = 4_000 * MS;
+    /** Longest time between checks that discovery answers with the full list; the watch may have stopped without notice. */
+    private static final long MAX_FULL_CHECK_INTERVAL_NS = 4_000 * NANOS_PER_MILLI;
 
-    /** Why discovery is asked. */
+    /** Why a request is sent to discovery. */
     public enum Purpose {
-        /** To hear of each change as it comes. */
+        /** To receive each change as it happens. */
         WATCH,
-        /** Whether there is anything that the watch has not told. */
+        /** To find changes that the watch has not delivered. */
         CHECK,
-        /** The whole list, to compare or, after discovery has begun anew, to begin from. */
-        WHOLE,
-        /** The whole list, as the policy asks for it. */
-        ASKED
+        /** To compare the full list with the known one or, after the revision went back, to replace the known list. */
+        FULL_LIST,
+        /** To answer the policy's request for the full list. */
+        FETCH
     }
 
-    /** How often what the watch says is checked; 0 for never. */
-    public record Pace(long checkEvery) {
-        /** Well within the second or two that rules leave a router to act on what it was told. */
-        public static final Pace USUAL = new Pace(1_000 * MS);
-        public static final Pace UNCHECKED = new Pace(0);
+    /** The time between checks in nanoseconds; 0 for no checks. */
+    public record CheckInterval(long nanos) {
+        /** Well within the one or two seconds that rules allow a router for acting on a change. */
+        public static final CheckInterval DEFAULT = new CheckInterval(1_000 * NANOS_PER_MILLI);
+        public static final CheckInterval DISABLED = new CheckInterval(0);
     }
 
-    /** One request to discovery, from its opening to its end. */
+    /** One HTTP request to discovery, on a connection of its own, from opening to closing. */
     public static final class Call {
         private final Purpose purpose;
         private final InetSocketAddress address;
-        private long seen;
-        private long byteAt;
-        private long owedSince;
-        private int owedBytes;
-        private boolean told;
+        /** The revision asked from or, later, the newest one received on this call. */
+        private long lastRevision;
+        private long lastByteAt;
+        /** Since when the answer has been incomplete without progress; {@link #NEVER} while nothing is outstanding. */
+        private long incompleteSince;
+        /** Bytes received since the last progress. */
+        private int bytesSinceProgress;
+        private boolean answered;
         private final String target;
 
         private Call(Purpose purpose, InetSocketAddress address, long revision, long now) {
             this.purpose = purpose;
             this.address = address;
-            this.seen = revision;
-            this.byteAt = now;
-            this.owedSince = now;
-            this.target = follows() ? PATH + "?follow=1&since=" + revision : PATH;
+            this.lastRevision = revision;
+            this.lastByteAt = now;
+            this.incompleteSince = now;
+            this.target = asksForChanges() ? PATH + "?follow=1&since=" + revision : PATH;
         }
 
         public Purpose purpose() {
@@ -88,353 +95,358 @@
             return address;
         }
 
-        /** What is asked for, as in an HTTP request's first line. */
+        /** The request target of the HTTP request line. */
         public String target() {
             return target;
         }
 
-        private boolean follows() {
+        private boolean asksForChanges() {
             return purpose == Purpose.WATCH || purpose == Purpose.CHECK;
         }
 
-        private long due() {
-            if (owedSince == NEVER) {
-                return byteAt + SILENCE;
+        private long timeoutAt() {
+            if (incompleteSince == NEVER) {
+                return lastByteAt + IDLE_TIMEOUT_NS;
             }
-            return Math.min(byteAt + QUIET, owedSince + LONGEST_STEP);
+            return Math.min(lastByteAt + RESPONSE_TIMEOUT_NS, incompleteSince + PROGRESS_TIMEOUT_NS);
         }
     }
 
-    /** Something to do about discovery or the members. */
-    public sealed interface Step permits Open, Close, Learn, Failed { }
+    /** An operation that the caller has to carry out. */
+    public sealed interface Step permits Open, Close, Apply, FetchFailed { }
 
-    /** Connect to the call's address and ask for its target. */
+    /** Connect to the call's address and request its target. */
     public record Open(Call call) implements Step { }
 
-    /** End the call's connection; nothing more of it is told. */
+    /** Close the call's connection and report nothing more about it. */
     public record Close(Call call) implements Step { }
 
-    /** Take in a list, or what has changed in it. */
-    public record Learn(ListUpdate update, Call from) implements Step { }
+    /** Apply an update that the call has received. */
+    public record Apply(ListUpdate update, Call call) implements Step { }
 
-    /** Whoever asked for the list gets none. */
-    public record Failed() implements Step { }
+    /** Report to the policy that the list it asked for could not be fetched. */
+    public record FetchFailed() implements Step { }
 
-    private final boolean onlyWhenAsked;
-    private final Pace pace;
+    private final boolean onDemand;
+    private final CheckInterval checkInterval;
     private final SplittableRandom random;
-    /** Open calls: a watch, the one before it while discovery moves, checks of a second each, and what the policy asks. */
+    /** Open calls: a watch, the previous one after a change of address, checks of up to a second each, and fetches. */
     private final Set<Call> open = new HashSet<>();
-    /** What was told last of each member; one that is gone leaves. As many as the newest list has. */
-    private final Map<String, Member> known = new HashMap<>();
+    /** Newest entry of each listed member; entries that are gone are removed, so it is as large as the newest list. */
+    private final Map<String, Member> knownMembers = new HashMap<>();
     private List<Step> steps = new ArrayList<>();
     private InetSocketAddress address;
     private long revision;
-    private long gap = FIRST_GAP;
-    private long watchAt = NEVER;
-    private long checkAt = NEVER;
-    private int checks;
-    private long wholeAt = Long.MIN_VALUE;
+    private long backoffNs = MIN_BACKOFF_NS;
+    private long nextWatchAt = NEVER;
+    private long nextCheckAt = NEVER;
+    private int checksSinceFullList;
+    private long nextFullListAt = Long.MIN_VALUE;
     private Call watch;
-    private Call before;
-    private long moveEnds;
-    private boolean anew;
-    private long anewAt;
-    private long checkedRevision = NOTHING;
+    /** The watch at the address before the last change of address; null if there is none. */
+    private Call previousWatch;
+    private long previousWatchEndsAt;
+    /** Whether the revision went back, and the full list that replaces the known one has not arrived. */
+    private boolean resyncing;
+    private long lastResyncAt;
+    /** Newest revision with a change that a check, not the watch, has delivered. */
+    private long checkedRevision = NO_REVISION;
 
     /**
-     * Follows from the list that is known already.
+     * Creates a watcher that starts from a known list.
      *
-     * @param onlyWhenAsked whether discovery tells something only when the policy asks for it
+     * @param onDemand whether discovery is asked only when the policy requests the list
      * @param seed spreads the calls of routers that start, or lose discovery, at the same moment
      */
-    public MemberListWatcher(InetSocketAddress address, ListUpdate list, boolean onlyWhenAsked, Pace pace, long seed) {
+    public MemberListWatcher(InetSocketAddress address, ListUpdate list, boolean onDemand, CheckInterval checkInterval,
+                             long seed) {
         this.address = address;
         this.revision = list.revision();
-        this.onlyWhenAsked = onlyWhenAsked;
-        this.pace = pace;
+        this.onDemand = onDemand;
+        this.checkInterval = checkInterval;
         this.random = new SplittableRandom(seed);
-        this.anewAt = Long.MIN_VALUE / 2;
-        list.members().forEach(this::remember);
+        this.lastResyncAt = Long.MIN_VALUE / 2;
+        list.members().forEach(this::updateKnown);
     }
 
-    /** Begins to follow, where that is discovery's way. */
+    /** Opens the watch, unless the list is requested on demand only. */
     public List<Step> start(long now) {
-        wholeAt = now + wholeGap() + random.nextLong(1 + wholeGap());
-        if (!onlyWhenAsked) {
-            watch(now);
+        nextFullListAt = now + fullListInterval() + random.nextLong(1 + fullListInterval());
+        if (!onDemand) {
+            openWatch(now);
         }
-        return taken();
+        return takeSteps();
     }
 
-    /** Begins the watch, if there is none. */
+    /** Opens the watch, if there is none. */
     public List<Step> subscribe(long now) {
-        watch(now);
-        return taken();
+        openWatch(now);
+        return takeSteps();
     }
 
-    /** Asks for the whole list once. */
+    /** Requests the full list once. */
     public List<Step> fetch(long now) {
-        open(Purpose.ASKED, now);
-        return taken();
+        openCall(Purpose.FETCH, now);
+        return takeSteps();
     }
 
     /**
-     * Follows discovery at another address, from the revision known. The watch at the address before goes on until the
-     * one at the new address has spoken: what either tells counts.
+     * Follows discovery at another address, from the known revision. The watch at the previous address is kept until the
+     * one at the new address has delivered an update; updates from both are applied.
      */
-    public List<Step> move(InetSocketAddress other, long now) {
-        if (other.equals(address)) {
-            return taken();
-        }
-        address = other;
-        gap = FIRST_GAP;
-        List.copyOf(open).stream().filter(call -> call != watch).forEach(this::close);
-        boolean followed = watch != null || watchAt != NEVER || !onlyWhenAsked;
-        before = watch;
-        moveEnds = now + LONGEST_MOVE;
+    public List<Step> changeAddress(InetSocketAddress newAddress, long now) {
+        if (newAddress.equals(address)) {
+            return takeSteps();
+        }
+        address = newAddress;
+        backoffNs = MIN_BACKOFF_NS;
+        List.copyOf(open).stream().filter(call -> call != watch).forEach(this::closeCall);
+        boolean watching = watch != null || nextWatchAt != NEVER || !onDemand;
+        previousWatch = watch;
+        previousWatchEndsAt = now + ADDRESS_CHANGE_TIMEOUT_NS;
         watch = null;
-        anew = false;
-        if (followed) {
-            watch(now);
+        resyncing = false;
+        if (watching) {
+            openWatch(now);
         }
-        return taken();
+        return takeSteps();
     }
 
     /**
-     * Bytes of a call's answer have come.
+     * Records that bytes of a call's answer have arrived.
      *
-     * @param whole whether a list has become whole
-     * @param owed whether its head or a list that has begun is not whole yet
-     * @param bytes how many have come
+     * @param listCompleted whether they completed a list
+     * @param incomplete whether the response head, or a list that has begun, is not complete yet
+     * @param bytes how many have arrived
      */
-    public List<Step> heard(Call call, boolean whole, boolean owed, int bytes, long now) {
+    public List<Step> onBytes(Call call, boolean listCompleted, boolean incomplete, int bytes, long now) {
         if (open.contains(call)) {
-            call.byteAt = now;
-            call.owedBytes += bytes;
-            boolean step = whole || call.owedBytes >= LEAST_STEP_BYTES;
-            call.owedBytes = step ? 0 : call.owedBytes;
-            call.owedSince = !owed ? NEVER : step ? now : Math.min(call.owedSince, now);
+            call.lastByteAt = now;
+            call.bytesSinceProgress += bytes;
+            boolean progress = listCompleted || call.bytesSinceProgress >= MIN_PROGRESS_BYTES;
+            call.bytesSinceProgress = progress ? 0 : call.bytesSinceProgress;
+            call.incompleteSince = !incomplete ? NEVER : progress ? now : Math.min(call.incompleteSince, now);
         }
-        return taken();
+        return takeSteps();
     }
 
-    /** A call has told of a list; empty lines are not told. */
-    public List<Step> told(Call call, ListUpdate update, long now) {
+    /** Handles a list or a set of changes that a call has received. It is not called for empty lines. */
+    public List<Step> onUpdate(Call call, ListUpdate update, long now) {
         if (!open.contains(call)) {
-            return taken();
+            return takeSteps();
         }
-        call.told = true;
-        gap = FIRST_GAP;
-        boolean back = update.revision() < call.seen;
-        call.seen = update.revision();
-        if (call == watch && before != null) {
-            close(before);
+        call.answered = true;
+        backoffNs = MIN_BACKOFF_NS;
+        boolean wentBack = update.revision() < call.lastRevision;
+        call.lastRevision = update.revision();
+        if (call == watch && previousWatch != null) {
+            closeCall(previousWatch);
         }
         if (update.complete()) {
-            whole(call, update, back, now);
-        } else if (call.purpose != Purpose.WHOLE) { // to that question a part is no answer
-            changes(call, update, back, now);
+            handleFullList(call, update, wentBack, now);
+        } else if (call.purpose != Purpose.FULL_LIST) { // a request for the full list is not answered by changes
+            handleChanges(call, update, wentBack, now);
         }
         if (call.purpose != Purpose.WATCH && open.contains(call)) {
-            over(call, now);
+            endCall(call, now);
         }
-        return taken();
+        return takeSteps();
     }
 
-    /** A call's connection has ended, never came up, or said what cannot be read. */
-    public List<Step> ended(Call call, long now) {
+    /** Handles a call whose connection was closed, could not be opened, or carried data that cannot be parsed. */
+    public List<Step> onClosed(Call call, long now) {
         if (open.contains(call)) {
-            over(call, now);
+            endCall(call, now);
         }
-        return taken();
+        return takeSteps();
     }
 
-    /** Does what is due by now. */
+    /** Ends the calls that have timed out, and opens the watch and the check that are due. */
     public List<Step> tick(long now) {
         for (Call call : List.copyOf(open)) {
-            if (open.contains(call) && (call.due() <= now || call == before && moveEnds <= now)) {
-                over(call, now);
+            if (open.contains(call) && (call.timeoutAt() <= now || call == previousWatch && previousWatchEndsAt <= now)) {
+                endCall(call, now);
             }
         }
-        if (watchAt <= now) {
-            watch(now);
+        if (nextWatchAt <= now) {
+            openWatch(now);
         }
-        if (checkAt <= now) {
-            check(now);
+        if (nextCheckAt <= now) {
+            openCheck(now);
         }
-        return taken();
+        return takeSteps();
     }
 
-    /** When {@link #tick} is wanted next. */
-    public long due() {
-        long due = Math.min(Math.min(watchAt, checkAt), before == null ? NEVER : moveEnds);
+    /** The time at which {@link #tick} must be called next. */
+    public long nextTickAt() {
+        long due = Math.min(Math.min(nextWatchAt, nextCheckAt), previousWatch == null ? NEVER : previousWatchEndsAt);
         for (Call call : open) {
-            due = Math.min(due, call.due());
+            due = Math.min(due, call.timeoutAt());
         }
         return due;
     }
 
-    /** The revision known. */
+    /** The revision of the known list. */
     public long revision() {
         return revision;
     }
 
-    // ---- What a call tells
+    // ---- Updates from discovery
 
-    private void changes(Call call, ListUpdate update, boolean back, long now) {
-        if (back) {
-            beginAnew(now);
+    private void handleChanges(Call call, ListUpdate update, boolean wentBack, long now) {
+        if (wentBack) {
+            startResync(now);
         } else if (update.revision() > revision) {
             if (call.purpose == Purpose.CHECK) {
                 checkedRevision = update.revision();
             }
-            learn(update, call);
+            apply(update, call);
         }
     }
 
-    /** Discovery has begun anew: only the whole list says what holds, and a watch from there on. */
-    private void beginAnew(long now) {
-        anew = true;
-        List.copyOf(open).stream().filter(call -> call.purpose != Purpose.ASKED).forEach(this::close);
-        if (now >= anewAt + LONGEST_GAP) {
-            watch(now);
+    /** Requests the full list because the revision went back: discovery has restarted, so changes alone are not enough. */
+    private void startResync(long now) {
+        resyncing = true;
+        List.copyOf(open).stream().filter(call -> call.purpose != Purpose.FETCH).forEach(this::closeCall);
+        if (now >= lastResyncAt + MAX_BACKOFF_NS) {
+            openWatch(now);
         } else {
-            watchAt = now + LONGEST_GAP; // it goes back again and again
+            nextWatchAt = now + MAX_BACKOFF_NS; // the revision goes back repeatedly
         }
-        anewAt = now;
+        lastResyncAt = now;
     }
 
-    private void whole(Call call, ListUpdate update, boolean back, long now) {
-        if (call.purpose == Purpose.CHECK && checkAt != NEVER) {
-            checkAt = Math.max(checkAt, now + Math.min(LONGEST_CHECK_GAP, wholeGap()));
-        }
-        if (anew && call.purpose == Purpose.WHOLE) {
-            anew = false;
-            learn(update, call);
-            close(call);
-            watch(now);
-        } else if (!back && (call.purpose == Purpose.WHOLE || call.purpose == Purpose.CHECK)) {
-            compare(update, call);
-        } else if (back || update.revision() >= revision) {
-            learn(update, call);
-            if (back && call != watch && !onlyWhenAsked) {
+    private void handleFullList(Call call, ListUpdate update, boolean wentBack, long now) {
+        if (call.purpose == Purpose.CHECK && nextCheckAt != NEVER) {
+            nextCheckAt = Math.max(nextCheckAt, now + Math.min(MAX_FULL_CHECK_INTERVAL_NS, fullListInterval()));
+        }
+        if (resyncing && call.purpose == Purpose.FULL_LIST) {
+            resyncing = false;
+            apply(update, call);
+            closeCall(call);
+            openWatch(now);
+        } else if (!wentBack && (call.purpose == Purpose.FULL_LIST || call.purpose == Purpose.CHECK)) {
+            applyDifferences(update, call);
+        } else if (wentBack || update.revision() >= revision) {
+            apply(update, call);
+            if (wentBack && call != watch && !onDemand) {
                 restartWatch(now);
             }
         }
     }
 
-    /** What a whole list says otherwise than was known is told as changes; usually that is nothing. */
-    private void compare(ListUpdate whole, Call call) {
-        if (whole.revision() < revision) {
-            return; // overtaken by the watch
+    /** Applies, as changes, the entries of a full list that differ from the known ones; usually none do. */
+    private void applyDifferences(ListUpdate fullList, Call call) {
+        if (fullList.revision() < revision) {
+            return; // the watch has delivered a newer revision meanwhile
         }
         List<Member> changed = new ArrayList<>();
         Set<String> listed = new HashSet<>();
-        for (Member member : whole.members()) {
+        for (Member member : fullList.members()) {
             listed.add(member.id());
-            if (!member.equals(known.get(member.id()))) {
+            if (!member.equals(knownMembers.get(member.id()))) {
                 changed.add(member);
             }
         }
-        for (Member member : known.values()) {
+        for (Member member : knownMembers.values()) {
             if (!listed.contains(member.id())) {
                 changed.add(new Member(member.id(), member.address(), member.locality(), member.flavor(), member.cell(),
                     Member.Phase.GONE, member.size(), member.primary(), member.upSinceMillis()));
             }
         }
         if (!changed.isEmpty()) {
-            checkedRevision = whole.revision();
-            learn(new ListUpdate(whole.revision(), false, changed), call);
+            checkedRevision = fullList.revision();
+            apply(new ListUpdate(fullList.revision(), false, changed), call);
         }
-        revision = whole.revision();
+        revision = fullList.revision();
     }
 
-    private void learn(ListUpdate update, Call call) {
+    private void apply(ListUpdate update, Call call) {
         revision = update.revision();
         if (update.complete()) {
-            known.clear();
+            knownMembers.clear();
         }
-        update.members().forEach(this::remember);
-        steps.add(new Learn(update, call));
+        update.members().forEach(this::updateKnown);
+        steps.add(new Apply(update, call));
     }
 
-    private void remember(Member member) {
+    private void updateKnown(Member member) {
         if (member.phase() == Member.Phase.GONE) {
-            known.remove(member.id());
+            knownMembers.remove(member.id());
         } else {
-            known.put(member.id(), member);
+            knownMembers.put(member.id(), member);
         }
     }
 
     // ---- Calls
 
-    private void watch(long now) {
-        watchAt = NEVER;
+    /** Opens the watch if there is none; during a resync, the request for the full list takes its place. */
+    private void openWatch(long now) {
+        nextWatchAt = NEVER;
         if (watch == null) {
-            watch = open(anew ? Purpose.WHOLE : Purpose.WATCH, now);
-            checkAt = pace.checkEvery() == 0 || onlyWhenAsked ? NEVER : Math.min(checkAt, now + pace.checkEvery());
+            watch = openCall(resyncing ? Purpose.FULL_LIST : Purpose.WATCH, now);
+            nextCheckAt = checkInterval.nanos() == 0 || onDemand ? NEVER : Math.min(nextCheckAt, now + checkInterval.nanos());
         }
     }
 
     private void restartWatch(long now) {
         if (watch != null) {
-            close(watch);
+            closeCall(watch);
         }
-        watch(now);
+        openWatch(now);
     }
 
-    private void check(long now) {
-        checkAt = now + pace.checkEvery();
-        checks++;
-        if (anew) {
-            return; // the whole list is on its way, or asked for again soon
+    private void openCheck(long now) {
+        nextCheckAt = now + checkInterval.nanos();
+        checksSinceFullList++;
+        if (resyncing) {
+            return; // the full list is already requested, or will be soon
         }
-        if (watch != null && watch.seen < checkedRevision) {
-            restartWatch(now); // a check told it a whole period ago, and the watch still has not
+        if (watch != null && watch.lastRevision < checkedRevision) {
+            restartWatch(now); // the watch still lacks a change that a check found at least one check interval ago
         }
-        boolean whole = checks >= WHOLE_EVERY && now >= wholeAt;
-        checks = whole ? 0 : checks;
-        wholeAt = whole ? now + wholeGap() : wholeAt;
-        open(whole ? Purpose.WHOLE : Purpose.CHECK, now);
+        boolean fullList = checksSinceFullList >= MIN_CHECKS_PER_FULL_LIST && now >= nextFullListAt;
+        checksSinceFullList = fullList ? 0 : checksSinceFullList;
+        nextFullListAt = fullList ? now + fullListInterval() : nextFullListAt;
+        openCall(fullList ? Purpose.FULL_LIST : Purpose.CHECK, now);
     }
 
-    /** Time in which a whole list may be asked for once: the longer, the more members it has. */
-    private long wholeGap() {
-        return known.size() * ENTRY_BYTES * SECOND / WHOLE_BYTES_PER_SECOND;
+    /** The shortest time in nanoseconds between requests for the full list; it grows with the number of members. */
+    private long fullListInterval() {
+        return knownMembers.size() * ENTRY_BYTES * NANOS_PER_SECOND / FULL_LIST_BYTES_PER_SECOND;
     }
 
-    private Call open(Purpose purpose, long now) {
+    private Call openCall(Purpose purpose, long now) {
         Call call = new Call(purpose, address, revision, now);
         open.add(call);
         steps.add(new Open(call));
         return call;
     }
 
-    private void close(Call call) {
+    private void closeCall(Call call) {
         if (open.remove(call)) {
             steps.add(new Close(call));
         }
         watch = call == watch ? null : watch;
-        before = call == before ? null : before;
+        previousWatch = call == previousWatch ? null : previousWatch;
     }
 
-    /** A call that was not ended by choice. */
-    private void over(Call call, long now) {
-        boolean watched = call == watch;
-        close(call);
-        if (call.purpose == Purpose.ASKED ? !call.told : watched && onlyWhenAsked) {
-            steps.add(new Failed());
+    /** Closes a call that was answered, failed or timed out; a watch is opened again after a back-off with jitter. */
+    private void endCall(Call call, long now) {
+        boolean wasWatch = call == watch;
+        closeCall(call);
+        if (call.purpose == Purpose.FETCH ? !call.answered : wasWatch && onDemand) {
+            steps.add(new FetchFailed());
         }
-        if (watched && !onlyWhenAsked) {
-            watchAt = now + gap / 2 + random.nextLong(gap / 2);
-            gap = Math.min(LONGEST_GAP, 2 * gap);
+        if (wasWatch && !onDemand) {
+            nextWatchAt = now + backoffNs / 2 + random.nextLong(backoffNs / 2);
+            backoffNs = Math.min(MAX_BACKOFF_NS, 2 * backoffNs);
         }
     }
 
-    private List<Step> taken() {
-        List<Step> all = steps;
+    private List<Step> takeSteps() {
+        List<Step> taken = steps;
         steps = new ArrayList<>();
-        return all;
+        return taken;
     }
 }
