--- a/router/src/main/java/ledgewall/simhost/Codec.java
+++ b/router/src/main/java/ledgewall/simhost/Codec.java
@@ -10,10 +10,11 @@
 import ledgewall.settings.Fields;
 import ledgewall.settings.FormatException;
 
-/** Translates between the wire's messages and the policy's events and actions. Decides nothing. */
+/** Translates between the messages of the simulator's protocol and the policy's events and actions. */
 final class Codec {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final double NANOS_PER_SECOND = 1e9;
+    /** Values of the two low bits of {@code mark}, which tell the role of the answering member. */
     private static final int ROLE_PRIMARY = 1;
     private static final int ROLE_REPLICA = 2;
 
@@ -37,60 +38,66 @@
     }
 
     static RoutingPolicy.ListKind listKind(Fields message) {
-        String word = message.text("kind");
-        return switch (word) {
+        String kind = message.text("kind");
+        return switch (kind) {
             case "delta" -> RoutingPolicy.ListKind.CHANGES;
             case "full" -> RoutingPolicy.ListKind.FULL;
             case "cached" -> RoutingPolicy.ListKind.REMEMBERED;
             case "failed" -> RoutingPolicy.ListKind.FAILED;
-            default -> throw new FormatException(message.where() + ": unknown list kind '" + word + "'");
+            default -> throw new FormatException(message.where() + ": unknown list kind '" + kind + "'");
         };
     }
 
-    /** The event of a message, or null for a kind that is not known. {@code origin} is the zero of positions. */
-    static Event event(String what, Fields message, long origin) {
+    /**
+     * Converts a message to an event.
+     *
+     * @param originNs the time in nanoseconds that position 0 in the simulator's messages stands for
+     * @return null if the kind of message is unknown
+     */
+    static Event event(String what, Fields message, long originNs) {
         return switch (what) {
             case "ask" -> new RoutingPolicy.Arrival(
                 message.integer("ticket"), (int) message.integer("lane"), (int) message.integer("party", 0),
                 message.integer("dbNo"), message.integer("session", RoutingPolicy.NONE),
-                message.integer("graceNs"), millis(message.decimal("wroteMsAgo", 0)),
+                message.integer("graceNs"), nanosSinceWrite(message.decimal("wroteMsAgo", 0)),
                 message.flag("isRetry", false));
-            case "verdict" -> outcome(message, origin);
+            case "verdict" -> outcome(message, originNs);
             case "headers" -> new RoutingPolicy.AnswerBegun(
                 message.integer("ticket"), (int) message.integer("leg"), message.text("host"));
             case "lapsed" -> new RoutingPolicy.Lapsed(message.integer("ticket"));
             case "echo" -> new RoutingPolicy.ProbeResult(
-                message.text("host"), result(message), message.integer("elapsedNs", 0), report(message, origin));
+                message.text("host"), result(message), message.integer("elapsedNs", 0), report(message, originNs));
             case "message" -> new RoutingPolicy.PeerMessage(
-                (int) message.integer("author"), bytes(message));
+                (int) message.integer("author"), content(message));
             case "tickDue" -> new RoutingPolicy.TimerDue(message.integer("handle"));
             default -> null;
         };
     }
 
-    private static long millis(double value) {
-        return value <= 0 ? RoutingPolicy.NONE : (long) Math.floor(value * NANOS_PER_MILLI);
+    /** Nanoseconds since the write, or {@link RoutingPolicy#NONE} if the message carries none. */
+    private static long nanosSinceWrite(double millis) {
+        return millis <= 0 ? RoutingPolicy.NONE : (long) Math.floor(millis * NANOS_PER_MILLI);
     }
 
-    private static Event outcome(Fields message, long origin) {
-        long mark = message.integer("mark", 0);
-        long position = mark >> 2;
+    private static Event outcome(Fields message, long originNs) {
+        long mark = message.integer("mark", 0); // role in the two low bits, position in milliseconds above them
+        long positionMs = mark >> 2;
         return new RoutingPolicy.Outcome(
             message.integer("ticket"), (int) message.integer("leg"), message.text("host"), result(message),
             message.integer("elapsedNs", 0), message.flag("complete", false), role(mark & 3),
-            position == 0 ? RoutingPolicy.NONE : origin + position * NANOS_PER_MILLI, report(message, origin));
+            positionMs == 0 ? RoutingPolicy.NONE : originNs + positionMs * NANOS_PER_MILLI, report(message, originNs));
     }
 
-    private static RoutingPolicy.Role role(long code) {
-        if (code == ROLE_PRIMARY) {
+    private static RoutingPolicy.Role role(long roleBits) {
+        if (roleBits == ROLE_PRIMARY) {
             return RoutingPolicy.Role.PRIMARY;
         }
-        return code == ROLE_REPLICA ? RoutingPolicy.Role.REPLICA : RoutingPolicy.Role.UNKNOWN;
+        return roleBits == ROLE_REPLICA ? RoutingPolicy.Role.REPLICA : RoutingPolicy.Role.UNKNOWN;
     }
 
     private static RoutingPolicy.Result result(Fields message) {
-        String word = message.text("result");
-        return switch (word) {
+        String result = message.text("result");
+        return switch (result) {
             case "GOOD" -> RoutingPolicy.Result.OK;
             case "BAD" -> RoutingPolicy.Result.ERROR;
             case "FULL" -> RoutingPolicy.Result.REJECTED;
@@ -100,11 +107,12 @@
             case "CXL" -> RoutingPolicy.Result.CANCELLED;
             case "NOP" -> RoutingPolicy.Result.NEVER_SENT;
             case "MISS" -> RoutingPolicy.Result.MISSED;
-            default -> throw new FormatException(message.where() + ": unknown result '" + word + "'");
+            default -> throw new FormatException(message.where() + ": unknown result '" + result + "'");
         };
     }
 
-    private static RoutingPolicy.Report report(Fields message, long origin) {
+    /** Reads a member's report: {@code x0} is its position in seconds, {@code x1} is 1 for a primary and 0 for a replica. */
+    private static RoutingPolicy.Report report(Fields message, long originNs) {
         if (!message.has("report")) {
             return null;
         }
@@ -114,12 +122,12 @@
             role = report.decimal("x1", 0) == 1 ? RoutingPolicy.Role.PRIMARY : RoutingPolicy.Role.REPLICA;
         }
         long position = report.has("x0")
-            ? origin + (long) Math.floor(report.decimal("x0", 0) * NANOS_PER_SECOND) : RoutingPolicy.NONE;
+            ? originNs + (long) Math.floor(report.decimal("x0", 0) * NANOS_PER_SECOND) : RoutingPolicy.NONE;
         return new RoutingPolicy.Report(
             position, role, report.decimal("util", Double.NaN), report.decimal("queue", Double.NaN));
     }
 
-    private static byte[] bytes(Fields message) {
+    private static byte[] content(Fields message) {
         try {
             return Base64.getDecoder().decode(message.text("octets", ""));
         } catch (IllegalArgumentException e) {
@@ -127,41 +135,42 @@
         }
     }
 
+    /** Writes an action as a JSON object. */
     static void write(JsonGenerator out, int instance, Action action) throws IOException {
         out.writeStartObject();
         if (action instanceof RoutingPolicy.Send send) {
-            head(out, "place", instance);
+            writeHeader(out, "place", instance);
             out.writeNumberField("ticket", send.request());
             out.writeNumberField("giveUpAfterNs", send.timeout());
             out.writeStringField("host", send.member());
         } else if (action instanceof RoutingPolicy.Refuse refuse) {
-            head(out, "overloadReply", instance);
+            writeHeader(out, "overloadReply", instance);
             out.writeNumberField("ticket", refuse.request());
             out.writeNumberField("pauseNs", refuse.retryAfter());
         } else if (action instanceof RoutingPolicy.Fail fail) {
-            head(out, "reportFailure", instance);
+            writeHeader(out, "reportFailure", instance);
             out.writeNumberField("ticket", fail.request());
         } else if (action instanceof RoutingPolicy.Cancel cancel) {
-            head(out, "dropAttempt", instance);
+            writeHeader(out, "dropAttempt", instance);
             out.writeNumberField("ticket", cancel.request());
             out.writeNumberField("leg", cancel.attempt());
         } else if (action instanceof RoutingPolicy.Probe probe) {
-            head(out, "poll", instance);
+            writeHeader(out, "poll", instance);
             out.writeStringField("host", probe.member());
         } else if (action instanceof RoutingPolicy.SetTimer timer) {
-            head(out, "after", instance);
+            writeHeader(out, "after", instance);
             out.writeNumberField("whenNs", timer.at());
             out.writeNumberField("handle", timer.handle());
         } else if (action instanceof RoutingPolicy.Subscribe) {
-            head(out, "keepInformed", instance);
+            writeHeader(out, "keepInformed", instance);
             out.writeBooleanField("active", true);
         } else if (action instanceof RoutingPolicy.FetchList) {
-            head(out, "getList", instance);
+            writeHeader(out, "getList", instance);
         } else if (action instanceof RoutingPolicy.Disconnect disconnect) {
-            head(out, "dropConns", instance);
+            writeHeader(out, "dropConns", instance);
             out.writeStringField("host", disconnect.member());
         } else if (action instanceof RoutingPolicy.Tell tell) {
-            head(out, "notify", instance);
+            writeHeader(out, "notify", instance);
             if (tell.router() == RoutingPolicy.NONE) {
                 out.writeStringField("whom", "*");
             } else {
@@ -169,7 +178,7 @@
             }
             out.writeStringField("octets", Base64.getEncoder().encodeToString(tell.content()));
         } else if (action instanceof RoutingPolicy.Note note) {
-            head(out, "trace", instance);
+            writeHeader(out, "trace", instance);
             out.writeStringField("line", note.text());
         } else {
             throw new IllegalStateException("no wire form for " + action);
@@ -177,7 +186,7 @@
         out.writeEndObject();
     }
 
-    private static void head(JsonGenerator out, String what, int instance) throws IOException {
+    private static void writeHeader(JsonGenerator out, String what, int instance) throws IOException {
         out.writeStringField("what", what);
         out.writeNumberField("who", instance);
     }
--- a/router/src/main/java/ledgewall/simhost/SimHost.java
+++ b/router/src/main/java/ledgewall/simhost/SimHost.java
@@ -22,45 +22,54 @@
 import ledgewall.settings.FormatException;
 import ledgewall.settings.SettingsReader;
 
-/** Hosts one policy for each instance of the simulator and carries batches and replies between them. */
+/**
+ * Runs the router instances of a simulator, with one policy each. It reads batches of messages as lines of JSON, passes them
+ * to the policies as events, and writes their actions back.
+ */
 public final class SimHost {
     private final JsonFactory json = new JsonFactory();
     private final RoutingPolicy.Factory factory;
     private final Map<Integer, Instance> instances = new HashMap<>();
+    /** Member lists by {@code rosterId}. */
     private final Map<Long, List<RoutingPolicy.Listing>> lists = new HashMap<>();
 
-    /** A running instance and its events of the batch in hand. */
-    private record Instance(RoutingPolicy policy, long origin, List<RoutingPolicy.Event> events) { }
+    /** A running instance, the time in nanoseconds that its position 0 stands for, and its events of the current batch. */
+    private record Instance(RoutingPolicy policy, long originNs, List<RoutingPolicy.Event> events) { }
 
     public SimHost(RoutingPolicy.Factory factory) {
         this.factory = factory;
     }
 
-    /** Answers each line of input with one line, until the input ends. */
+    /** Writes one line of output for each line of input, until the input ends. */
     public void serve(InputStream in, OutputStream out) throws IOException {
         BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
-        long number = 0;
+        long lineNumber = 0;
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-            number++;
-            out.write(reply(line, "line " + number).getBytes(StandardCharsets.UTF_8));
+            lineNumber++;
+            out.write(reply(line, "line " + lineNumber).getBytes(StandardCharsets.UTF_8));
             out.flush();
         }
     }
 
-    /** The whole reply to a batch, with its line end; nothing of it exists if the batch is malformed. */
+    /**
+     * Processes a batch and returns the reply, including its line break.
+     *
+     * @param where the location of the batch, for error messages
+     * @throws FormatException if the batch is malformed; there is no partial reply
+     */
     String reply(String line, String where) throws IOException {
-        Map<Integer, Instance> touched = new LinkedHashMap<>();
-        long now = readBatch(line, where, touched);
+        Map<Integer, Instance> affected = new LinkedHashMap<>();
+        long now = readBatch(line, where, affected);
         StringWriter text = new StringWriter();
         try (JsonGenerator out = json.createGenerator(text)) {
             out.writeStartObject();
             out.writeArrayFieldStart("do");
-            for (Map.Entry<Integer, Instance> entry : touched.entrySet()) {
+            for (Map.Entry<Integer, Instance> entry : affected.entrySet()) {
                 Instance instance = entry.getValue();
                 List<RoutingPolicy.Event> events = List.copyOf(instance.events());
                 instance.events().clear();
                 for (RoutingPolicy.Action action : instance.policy().decide(now, events)) {
-                    if (!(action instanceof RoutingPolicy.Forget)) { // the simulator keeps no connections here
+                    if (!(action instanceof RoutingPolicy.Forget)) { // this process holds no connections to release
                         Codec.write(out, entry.getKey(), action);
                     }
                 }
@@ -71,7 +80,7 @@
         return text.append('\n').toString();
     }
 
-    private long readBatch(String line, String where, Map<Integer, Instance> touched) throws IOException {
+    private long readBatch(String line, String where, Map<Integer, Instance> affected) throws IOException {
         Long now = null;
         List<Fields> messages = new ArrayList<>();
         try (JsonParser parser = json.createParser(line)) {
@@ -99,22 +108,22 @@
             throw new FormatException(where + ": lacks 'atTimeNs'");
         }
         for (Fields message : messages) {
-            accept(message, touched);
+            handle(message, affected);
         }
         return now;
     }
 
     private static void readMessages(JsonParser parser, String where, List<Fields> messages) throws IOException {
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            String place = where + ", msgs[" + messages.size() + "]";
+            String location = where + ", msgs[" + messages.size() + "]";
             if (parser.currentToken() != JsonToken.START_OBJECT) {
-                throw new FormatException(place + ": no object");
+                throw new FormatException(location + ": no object");
             }
-            messages.add(Fields.read(parser, place));
+            messages.add(Fields.read(parser, location));
         }
     }
 
-    private void accept(Fields message, Map<Integer, Instance> touched) {
+    private void handle(Fields message, Map<Integer, Instance> affected) {
         String what = message.text("what");
         switch (what) {
             case "defineList" -> lists.put(message.integer("rosterId"), Codec.listings(message));
@@ -125,31 +134,31 @@
                 }
                 Fields info = message.object("info");
                 RoutingPolicy policy = factory.create(SettingsReader.settings(info), message.integer("salt"));
-                long origin = info.object("domain").integer("originTimeNs", 0);
-                Instance instance = new Instance(policy, origin, new ArrayList<>());
+                long originNs = info.object("domain").integer("originTimeNs", 0);
+                Instance instance = new Instance(policy, originNs, new ArrayList<>());
                 instances.put(who, instance);
-                touched.put(who, instance);
+                affected.put(who, instance);
             }
             case "teardown" -> {
                 int who = (int) message.integer("who");
                 instances.remove(who);
-                touched.remove(who);
+                affected.remove(who);
             }
-            default -> deliver(what, message, touched);
+            default -> deliver(what, message, affected);
         }
     }
 
-    private void deliver(String what, Fields message, Map<Integer, Instance> touched) {
+    private void deliver(String what, Fields message, Map<Integer, Instance> affected) {
         Instance instance = instances.get((int) message.integer("who", -1));
         RoutingPolicy.Event event = what.equals("directoryUpdate")
-            ? memberList(message) : Codec.event(what, message, instance == null ? 0 : instance.origin());
+            ? memberList(message) : Codec.event(what, message, instance == null ? 0 : instance.originNs());
         if (event == null) {
-            return; // a kind of message that is not known
+            return; // unknown kind of message
         }
         int who = (int) message.integer("who");
-        if (instance != null) { // else meant for a life that has ended
+        if (instance != null) { // otherwise the instance has been torn down
             instance.events().add(event);
-            touched.put(who, instance);
+            affected.put(who, instance);
         }
     }
 
