--- a/router/src/test/java/ledgewall/discovery/ListParserTest.java
+++ b/router/src/test/java/ledgewall/discovery/ListParserTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void anEntryIsReadWhole() {
+    void allFieldsOfAnEntryAreRead() {
         ListUpdate update = parse("{\"revision\":43,\"complete\":true,\"later\":{\"a\":[1]},\"members\":[{\"id\":\"s-1\","
             + "\"host_port\":\"127.0.0.9:7000\",\"locality\":\"a\",\"flavor\":\"m2\",\"cell\":3,"
             + "\"phase\":\"Terminating\",\"size\":1.5,\"up_since_ms\":1767225600123}]}");
@@ -28,16 +28,16 @@
     }
 
     @Test
-    void anEntryThatIsGoneNeedsLittle() {
+    void entryThatIsGoneNeedsNoAddress() {
         ListUpdate update = parse("{\"revision\":44,\"members\":[{\"id\":\"s-1\",\"phase\":\"Gone\"}]}");
         assertFalse(update.complete());
         assertEquals(Member.Phase.GONE, update.members().get(0).phase());
     }
 
     @Test
-    void whatNestsDeeplyIsNoList() {
-        String deep = "[".repeat(900) + "]".repeat(900);
-        assertThrows(FormatException.class, () -> parse("{\"revision\":1,\"members\":[],\"x\":" + deep + "}"));
+    void deeplyNestedInputIsRejected() {
+        String nestedArrays = "[".repeat(900) + "]".repeat(900);
+        assertThrows(FormatException.class, () -> parse("{\"revision\":1,\"members\":[],\"x\":" + nestedArrays + "}"));
     }
 
     @ParameterizedTest
@@ -45,7 +45,7 @@
         "", "[]", "{", "{}", "{\"revision\":1}", "{\"members\":[]}", "{\"revision\":\"x\",\"members\":[]}",
         "{\"revision\":1,\"members\":[{}]}", "{\"revision\":1,\"members\":[3]}", "{\"revision\":1,\"members\":[]} 1",
         "{\"revision\":1,\"members\":[{\"id\":\"a\",\"phase\":\"Lost\"}]}"})
-    void whatIsNoListIsTold(String json) {
+    void malformedListIsRejected(String json) {
         assertThrows(FormatException.class, () -> parse(json));
     }
 }
