--- a/router/src/test/java/ledgewall/discovery/MemberListWatcherTest.java
+++ b/router/src/test/java/ledgewall/discovery/MemberListWatcherTest.java
@@ -12,488 +12,514 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import ledgewall.discovery.MemberListWatcher.Pace;
+import ledgewall.discovery.MemberListWatcher.CheckInterval;
 import ledgewall.discovery.MemberListWatcher.Purpose;
 import ledgewall.discovery.Member.Phase;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Every way of missing a change that the architecture page lists, against a discovery in simulated time. */
+/**
+ * Tests the ways of missing a change that docs/architecture.md lists, against a model of discovery in simulated time. Each
+ * call has a connection to a discovery server whose behavior a test can change.
+ */
 class MemberListWatcherTest {
-    private static final long MS = 1_000_000L;
-    private static final long STEP = 10 * MS;
-    /** A question and its answer in the model: two steps each way. */
-    private static final long TURN = 4 * STEP;
-    private static final long BLANK_EVERY = 2_000 * MS;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    /** Resolution of the simulated time. */
+    private static final long STEP_NS = 10 * NANOS_PER_MILLI;
+    /** The time from a request to its response in the model: two steps in each direction. */
+    private static final long ROUND_TRIP_NS = 4 * STEP_NS;
+    private static final long HEARTBEAT_INTERVAL_NS = 2_000 * NANOS_PER_MILLI;
     private static final long SEED = 28;
-    private static final InetSocketAddress HERE = new InetSocketAddress("127.0.0.1", 8500);
-    private static final InetSocketAddress THERE = new InetSocketAddress("127.0.0.1", 8501);
+    private static final InetSocketAddress FIRST_ADDRESS = new InetSocketAddress("127.0.0.1", 8500);
+    private static final InetSocketAddress SECOND_ADDRESS = new InetSocketAddress("127.0.0.1", 8501);
 
-    /** The list as discovery has it, with its history. */
+    /** The list as discovery holds it, with the revision at which each entry last changed. */
     private static final class Discovery {
         private final Map<String, Member> members = new LinkedHashMap<>();
         private final Map<String, Long> changedAt = new HashMap<>();
         private long revision = 41;
-        private boolean tellsWhole;
+        private boolean alwaysSendsFullList;
 
         void set(String id, Phase phase) {
             members.put(id, member(id, phase));
             changedAt.put(id, ++revision);
         }
 
-        ListUpdate since(long known) {
-            if (tellsWhole || known > revision) {
-                return whole();
+        ListUpdate changesSince(long knownRevision) {
+            if (alwaysSendsFullList || knownRevision > revision) {
+                return fullList();
             }
             return new ListUpdate(revision, false, members.values().stream()
-                .filter(m -> changedAt.getOrDefault(m.id(), 0L) > known).toList());
+                .filter(m -> changedAt.getOrDefault(m.id(), 0L) > knownRevision).toList());
         }
 
-        ListUpdate whole() {
+        ListUpdate fullList() {
             return new ListUpdate(revision, true, members.values().stream()
                 .filter(m -> m.phase() != Phase.GONE).toList());
         }
     }
 
-    private enum Mood { WELL, REFUSES, SILENT, STUCK, HALF }
+    /** What a discovery server does with its connections. */
+    private enum Behavior {
+        NORMAL,
+        REFUSES,
+        /** Sends nothing, neither answers nor heartbeats. */
+        SILENT,
+        /** Answers and sends heartbeats, but no changes after its first answer. */
+        NO_CHANGES,
+        /** Sends only the beginning of a line on a watch, and then nothing. */
+        PARTIAL_LINE
+    }
 
-    /** One call's connection as discovery sees it. */
-    private static final class Line {
+    /** The connection of one call at the discovery server. */
+    private static final class Connection {
         private final MemberListWatcher.Call call;
-        private final long since;
+        /** The revision that the call asks from; -1 if it asks for the full list. */
+        private final long sinceRevision;
+        /** Whether nothing arrives any more, without the connection being closed. */
         private boolean lost;
-        private boolean first = true;
-        private long sent;
-        private long spokeAt;
+        private boolean unanswered = true;
+        private long sentRevision;
+        private long lastSentAt;
 
-        private Line(MemberListWatcher.Call call, boolean lost, long now) {
+        private Connection(MemberListWatcher.Call call, boolean lost, long now) {
             this.call = call;
             this.lost = lost;
-            this.since = call.target().contains("since=") ? Long.parseLong(call.target().split("since=")[1]) : -1;
-            this.spokeAt = now;
+            this.sinceRevision = call.target().contains("since=") ? Long.parseLong(call.target().split("since=")[1]) : -1;
+            this.lastSentAt = now;
         }
     }
 
     private final Map<InetSocketAddress, Discovery> discoveries = new HashMap<>();
-    private final Map<InetSocketAddress, Mood> moods = new HashMap<>();
-    private final Map<MemberListWatcher.Call, Line> lines = new LinkedHashMap<>();
-    private final Map<String, Phase> heard = new HashMap<>();
-    private final List<ListUpdate> updates = new ArrayList<>();
+    private final Map<InetSocketAddress, Behavior> behaviors = new HashMap<>();
+    private final Map<MemberListWatcher.Call, Connection> connections = new LinkedHashMap<>();
+    /** Phases by member id, as the router knows them after the updates applied so far. */
+    private final Map<String, Phase> knownPhases = new HashMap<>();
+    private final List<ListUpdate> appliedUpdates = new ArrayList<>();
     private final Discovery discovery = new Discovery();
-    private MemberListWatcher follower;
-    private boolean losesConnects;
-    private int failures;
-    private int mostOpen;
+    private MemberListWatcher watcher;
+    /** Whether nothing ever arrives on connections that are opened from now on. */
+    private boolean newConnectionsAreLost;
+    private int failedFetches;
+    private int maxOpenConnections;
     private long now;
 
     private static Member member(String id, Phase phase) {
         return new Member(id, "127.0.0.1:9", "south", "small", 2, phase, 1, false, 0);
     }
 
-    private void begin(Pace pace, boolean onlyWhenAsked) {
+    private void startWatcher(CheckInterval checkInterval, boolean onDemand) {
         discovery.members.put("a", member("a", Phase.READY));
         discovery.members.put("b", member("b", Phase.READY));
-        discoveries.put(HERE, discovery);
-        discoveries.put(THERE, discovery);
-        follower = new MemberListWatcher(HERE, discovery.whole(), onlyWhenAsked, pace, SEED);
-        heard.put("a", Phase.READY);
-        heard.put("b", Phase.READY);
-        carryOut(follower.start(now));
+        discoveries.put(FIRST_ADDRESS, discovery);
+        discoveries.put(SECOND_ADDRESS, discovery);
+        watcher = new MemberListWatcher(FIRST_ADDRESS, discovery.fullList(), onDemand, checkInterval, SEED);
+        knownPhases.put("a", Phase.READY);
+        knownPhases.put("b", Phase.READY);
+        carryOut(watcher.start(now));
     }
 
     private void carryOut(List<MemberListWatcher.Step> steps) {
         for (MemberListWatcher.Step step : steps) {
             if (step instanceof MemberListWatcher.Open open) {
-                lines.put(open.call(), new Line(open.call(), losesConnects, now));
+                connections.put(open.call(), new Connection(open.call(), newConnectionsAreLost, now));
             } else if (step instanceof MemberListWatcher.Close close) {
-                assertTrue(lines.remove(close.call()) != null, "only what is open is closed");
-            } else if (step instanceof MemberListWatcher.Learn learn) {
-                updates.add(learn.update());
-                if (learn.update().complete()) {
-                    heard.clear();
+                assertTrue(connections.remove(close.call()) != null, "a closed call was open");
+            } else if (step instanceof MemberListWatcher.Apply apply) {
+                appliedUpdates.add(apply.update());
+                if (apply.update().complete()) {
+                    knownPhases.clear();
                 }
-                for (Member member : learn.update().members()) {
+                for (Member member : apply.update().members()) {
                     if (member.phase() == Phase.GONE) {
-                        heard.remove(member.id());
+                        knownPhases.remove(member.id());
                     } else {
-                        heard.put(member.id(), member.phase());
+                        knownPhases.put(member.id(), member.phase());
                     }
                 }
             } else {
-                failures++;
+                failedFetches++;
             }
         }
-        mostOpen = Math.max(mostOpen, lines.size());
+        maxOpenConnections = Math.max(maxOpenConnections, connections.size());
     }
 
-    private void run(long span) {
-        for (long end = now + span; now < end; now += STEP) {
-            for (Line line : List.copyOf(lines.values())) {
-                if (lines.containsKey(line.call)) {
-                    speak(line);
+    /** Advances the simulated time. */
+    private void run(long durationNs) {
+        for (long end = now + durationNs; now < end; now += STEP_NS) {
+            for (Connection connection : List.copyOf(connections.values())) {
+                if (connections.containsKey(connection.call)) {
+                    serve(connection);
                 }
             }
-            if (follower.due() <= now) {
-                carryOut(follower.tick(now));
+            if (watcher.nextTickAt() <= now) {
+                carryOut(watcher.tick(now));
             }
         }
     }
 
-    private void speak(Line line) {
-        Mood mood = moods.getOrDefault(line.call.address(), Mood.WELL);
-        if (line.lost) {
+    private void serve(Connection connection) {
+        Behavior behavior = behaviors.getOrDefault(connection.call.address(), Behavior.NORMAL);
+        if (connection.lost) {
             return;
         }
-        if (mood == Mood.REFUSES) {
-            carryOut(follower.ended(line.call, now));
-        } else if (line.first && now >= line.spokeAt + 2 * STEP && mood != Mood.SILENT) {
-            line.first = false;
-            Discovery answers = discoveries.get(line.call.address());
-            tell(line, line.since < 0 ? answers.whole() : answers.since(line.since), mood);
-        } else if (!line.first && mood != Mood.SILENT && mood != Mood.STUCK
-                && discoveries.get(line.call.address()).revision != line.sent) {
-            tell(line, discoveries.get(line.call.address()).since(line.sent), mood);
-        } else if (!line.first && mood != Mood.SILENT && now >= line.spokeAt + BLANK_EVERY) {
-            line.spokeAt = now;
-            carryOut(follower.heard(line.call, true, false, 1, now));
+        if (behavior == Behavior.REFUSES) {
+            carryOut(watcher.onClosed(connection.call, now));
+        } else if (connection.unanswered && now >= connection.lastSentAt + 2 * STEP_NS && behavior != Behavior.SILENT) {
+            connection.unanswered = false;
+            Discovery server = discoveries.get(connection.call.address());
+            send(connection, connection.sinceRevision < 0 ? server.fullList() : server.changesSince(connection.sinceRevision),
+                behavior);
+        } else if (!connection.unanswered && behavior != Behavior.SILENT && behavior != Behavior.NO_CHANGES
+                && discoveries.get(connection.call.address()).revision != connection.sentRevision) {
+            send(connection, discoveries.get(connection.call.address()).changesSince(connection.sentRevision), behavior);
+        } else if (!connection.unanswered && behavior != Behavior.SILENT
+                && now >= connection.lastSentAt + HEARTBEAT_INTERVAL_NS) {
+            connection.lastSentAt = now;
+            carryOut(watcher.onBytes(connection.call, true, false, 1, now));
         }
     }
 
-    private void tell(Line line, ListUpdate update, Mood mood) {
-        line.spokeAt = now;
-        line.sent = update.revision();
-        if (mood == Mood.HALF && line.call.purpose() == Purpose.WATCH) {
-            line.lost = true; // a line's beginning, and then nothing
-            carryOut(follower.heard(line.call, false, true, 1, now));
+    private void send(Connection connection, ListUpdate update, Behavior behavior) {
+        connection.lastSentAt = now;
+        connection.sentRevision = update.revision();
+        if (behavior == Behavior.PARTIAL_LINE && connection.call.purpose() == Purpose.WATCH) {
+            connection.lost = true;
+            carryOut(watcher.onBytes(connection.call, false, true, 1, now));
             return;
         }
-        carryOut(follower.heard(line.call, true, false, 1, now));
-        if (lines.containsKey(line.call)) {
-            carryOut(follower.told(line.call, update, now));
+        carryOut(watcher.onBytes(connection.call, true, false, 1, now));
+        if (connections.containsKey(connection.call)) {
+            carryOut(watcher.onUpdate(connection.call, update, now));
         }
     }
 
-    private void awaitDrain(String id, long within) {
+    /** Drains a member, and requires that the router knows within the limit and one round trip. */
+    private void assertDrainAppliedWithin(String id, long limitNs) {
         discovery.set(id, Phase.TERMINATING);
-        long told = now;
-        while (heard.get(id) != Phase.TERMINATING && now < told + 60_000 * MS) {
-            run(STEP);
+        long changedAt = now;
+        while (knownPhases.get(id) != Phase.TERMINATING && now < changedAt + 60_000 * NANOS_PER_MILLI) {
+            run(STEP_NS);
         }
-        assertTrue(now - told <= within + TURN, "learned after " + (now - told) / MS + " ms");
+        assertTrue(now - changedAt <= limitNs + ROUND_TRIP_NS, "applied after " + (now - changedAt) / NANOS_PER_MILLI + " ms");
     }
 
-    private long watches() {
-        return lines.keySet().stream().filter(c -> c.purpose() == Purpose.WATCH).count();
+    private long openWatches() {
+        return connections.keySet().stream().filter(c -> c.purpose() == Purpose.WATCH).count();
     }
 
     @Test
-    void aWatchThatIsWellTellsAtOnceAndChecksTellNothingAgain() {
-        begin(Pace.USUAL, false);
-        run(1_500 * MS);
-        awaitDrain("a", 0);
-        run(20_000 * MS);
-        assertEquals(1, updates.size());
-        assertEquals(1, watches());
+    void workingWatchDeliversAtOnceAndChecksRepeatNothing() {
+        startWatcher(CheckInterval.DEFAULT, false);
+        run(1_500 * NANOS_PER_MILLI);
+        assertDrainAppliedWithin("a", 0);
+        run(20_000 * NANOS_PER_MILLI);
+        assertEquals(1, appliedUpdates.size());
+        assertEquals(1, openWatches());
     }
 
     @Test
-    void aDiscoveryThatAnswersEachCheckWholeTellsNothingTwice() {
-        discovery.tellsWhole = true;
-        begin(Pace.USUAL, false);
-        run(1_500 * MS);
-        awaitDrain("a", 0);
-        int before = updates.size();
-        run(20_000 * MS);
-        assertEquals(before, updates.size());
+    void checksAnsweredWithTheFullListRepeatNothing() {
+        discovery.alwaysSendsFullList = true;
+        startWatcher(CheckInterval.DEFAULT, false);
+        run(1_500 * NANOS_PER_MILLI);
+        assertDrainAppliedWithin("a", 0);
+        int before = appliedUpdates.size();
+        run(20_000 * NANOS_PER_MILLI);
+        assertEquals(before, appliedUpdates.size());
     }
 
     @Test
-    void aLostConnectIsTriedAgainAfterASecond() {
-        losesConnects = true;
-        begin(Pace.UNCHECKED, false);
-        run(500 * MS);
-        losesConnects = false;
-        awaitDrain("a", 700 * MS);
+    void lostConnectIsRetriedAfterOneSecond() {
+        newConnectionsAreLost = true;
+        startWatcher(CheckInterval.DISABLED, false);
+        run(500 * NANOS_PER_MILLI);
+        newConnectionsAreLost = false;
+        assertDrainAppliedWithin("a", 700 * NANOS_PER_MILLI);
     }
 
     @Test
-    void aRefusedConnectIsTriedAgainSoonAndEachHalfSecondInTheEnd() {
-        moods.put(HERE, Mood.REFUSES);
-        begin(Pace.USUAL, false);
-        run(30_000 * MS);
-        moods.put(HERE, Mood.WELL);
-        awaitDrain("a", 500 * MS);
+    void refusedConnectIsRetriedWithBackoffUpToHalfASecond() {
+        behaviors.put(FIRST_ADDRESS, Behavior.REFUSES);
+        startWatcher(CheckInterval.DEFAULT, false);
+        run(30_000 * NANOS_PER_MILLI);
+        behaviors.put(FIRST_ADDRESS, Behavior.NORMAL);
+        assertDrainAppliedWithin("a", 500 * NANOS_PER_MILLI);
     }
 
     @Test
-    void aWatchCutOffSilentlyCostsAtMostTheTimeToTheNextCheck() {
-        begin(Pace.USUAL, false);
-        run(1_500 * MS);
-        lines.values().forEach(line -> line.lost = true);
-        awaitDrain("a", 1_000 * MS);
-        run(4_000 * MS);
-        awaitDrain("b", 0);
+    void changeMissedBySilentlyLostWatchIsFoundByTheNextCheck() {
+        startWatcher(CheckInterval.DEFAULT, false);
+        run(1_500 * NANOS_PER_MILLI);
+        connections.values().forEach(connection -> connection.lost = true);
+        assertDrainAppliedWithin("a", 1_000 * NANOS_PER_MILLI);
+        run(4_000 * NANOS_PER_MILLI);
+        assertDrainAppliedWithin("b", 0);
     }
 
     @Test
-    void withoutChecksASilentWatchIsReplacedAfterThreeSeconds() {
-        begin(Pace.UNCHECKED, false);
-        run(1_500 * MS);
-        lines.values().forEach(line -> line.lost = true);
-        awaitDrain("a", 3_200 * MS);
+    void withoutChecksSilentWatchIsReplacedAfterThreeSeconds() {
+        startWatcher(CheckInterval.DISABLED, false);
+        run(1_500 * NANOS_PER_MILLI);
+        connections.values().forEach(connection -> connection.lost = true);
+        assertDrainAppliedWithin("a", 3_200 * NANOS_PER_MILLI);
     }
 
     @Test
-    void aWatchThatLivesAndTellsNothingIsCaughtByTheNextCheckAndReplaced() {
-        begin(Pace.USUAL, false);
-        run(1_500 * MS);
-        MemberListWatcher.Call stuck = lines.keySet().stream().filter(c -> c.purpose() == Purpose.WATCH).findFirst()
+    void watchWithHeartbeatsButNoChangesIsReplacedAfterTheNextCheck() {
+        startWatcher(CheckInterval.DEFAULT, false);
+        run(1_500 * NANOS_PER_MILLI);
+        MemberListWatcher.Call stuck = connections.keySet().stream().filter(c -> c.purpose() == Purpose.WATCH).findFirst()
             .orElseThrow();
-        moods.put(HERE, Mood.STUCK);
-        awaitDrain("a", 1_000 * MS);
-        run(1_100 * MS);
-        assertFalse(lines.containsKey(stuck));
-        assertEquals(1, watches());
+        behaviors.put(FIRST_ADDRESS, Behavior.NO_CHANGES);
+        assertDrainAppliedWithin("a", 1_000 * NANOS_PER_MILLI);
+        run(1_100 * NANOS_PER_MILLI);
+        assertFalse(connections.containsKey(stuck));
+        assertEquals(1, openWatches());
     }
 
     @Test
-    void withoutChecksSuchAWatchWouldHideTheChangeForGood() {
-        begin(Pace.UNCHECKED, false);
-        run(1_500 * MS);
-        moods.put(HERE, Mood.STUCK);
+    void withoutChecksAWatchWithHeartbeatsButNoChangesHidesTheChangeForever() {
+        startWatcher(CheckInterval.DISABLED, false);
+        run(1_500 * NANOS_PER_MILLI);
+        behaviors.put(FIRST_ADDRESS, Behavior.NO_CHANGES);
         discovery.set("a", Phase.TERMINATING);
-        run(60_000 * MS);
-        assertEquals(Phase.READY, heard.get("a"));
+        run(60_000 * NANOS_PER_MILLI);
+        assertEquals(Phase.READY, knownPhases.get("a"));
     }
 
     @Test
-    void halfALineIsNoLongerWaitedForThanACheck() {
-        begin(Pace.USUAL, false);
-        run(1_500 * MS);
-        moods.put(HERE, Mood.HALF);
-        awaitDrain("a", 1_000 * MS);
-        moods.put(HERE, Mood.WELL);
-        run(2_000 * MS);
-        awaitDrain("b", 0);
+    void partialLineDelaysAChangeNoLongerThanOneCheck() {
+        startWatcher(CheckInterval.DEFAULT, false);
+        run(1_500 * NANOS_PER_MILLI);
+        behaviors.put(FIRST_ADDRESS, Behavior.PARTIAL_LINE);
+        assertDrainAppliedWithin("a", 1_000 * NANOS_PER_MILLI);
+        behaviors.put(FIRST_ADDRESS, Behavior.NORMAL);
+        run(2_000 * NANOS_PER_MILLI);
+        assertDrainAppliedWithin("b", 0);
     }
 
     @Test
-    void aLineThatDripsWithoutEndIsGivenUpAfterFourSeconds() {
-        begin(Pace.UNCHECKED, false);
-        run(1_500 * MS);
-        Line watch = lines.values().iterator().next();
+    void lineThatTricklesWithoutEndIsCancelledAfterFourSeconds() {
+        startWatcher(CheckInterval.DISABLED, false);
+        run(1_500 * NANOS_PER_MILLI);
+        Connection watch = connections.values().iterator().next();
         watch.lost = true;
-        long end = now + 4_000 * MS;
+        long end = now + 4_000 * NANOS_PER_MILLI;
         while (now <= end) {
-            carryOut(follower.heard(watch.call, false, true, 1, now));
-            run(100 * MS);
+            carryOut(watcher.onBytes(watch.call, false, true, 1, now));
+            run(100 * NANOS_PER_MILLI);
         }
-        run(200 * MS);
-        assertFalse(lines.containsKey(watch.call));
-        assertEquals(1, watches());
+        run(200 * NANOS_PER_MILLI);
+        assertFalse(connections.containsKey(watch.call));
+        assertEquals(1, openWatches());
     }
 
     @Test
-    void aMoveKeepsTheOldWatchUntilTheNewOneSpeaks() {
-        begin(Pace.USUAL, false);
-        run(1_500 * MS);
-        moods.put(THERE, Mood.SILENT);
-        carryOut(follower.move(THERE, now));
-        awaitDrain("a", 0);
-        assertEquals(2, watches());
-        moods.put(THERE, Mood.WELL);
-        run(1_200 * MS);
-        assertEquals(List.of(THERE), lines.keySet().stream().filter(c -> c.purpose() == Purpose.WATCH)
+    void addressChangeKeepsThePreviousWatchUntilTheNewOneDelivers() {
+        startWatcher(CheckInterval.DEFAULT, false);
+        run(1_500 * NANOS_PER_MILLI);
+        behaviors.put(SECOND_ADDRESS, Behavior.SILENT);
+        carryOut(watcher.changeAddress(SECOND_ADDRESS, now));
+        assertDrainAppliedWithin("a", 0);
+        assertEquals(2, openWatches());
+        behaviors.put(SECOND_ADDRESS, Behavior.NORMAL);
+        run(1_200 * NANOS_PER_MILLI);
+        assertEquals(List.of(SECOND_ADDRESS), connections.keySet().stream().filter(c -> c.purpose() == Purpose.WATCH)
             .map(MemberListWatcher.Call::address).toList());
-        moods.put(HERE, Mood.REFUSES);
-        awaitDrain("b", 0);
+        behaviors.put(FIRST_ADDRESS, Behavior.REFUSES);
+        assertDrainAppliedWithin("b", 0);
     }
 
     @Test
-    void aMoveToAnAddressThatStaysSilentLetsTheOldWatchGoAfterFiveSeconds() {
-        begin(Pace.USUAL, false);
-        run(1_500 * MS);
-        moods.put(THERE, Mood.SILENT);
-        carryOut(follower.move(THERE, now));
-        run(5_100 * MS);
-        assertTrue(lines.keySet().stream().allMatch(c -> c.address().equals(THERE)));
+    void addressChangeToASilentServerClosesThePreviousWatchAfterFiveSeconds() {
+        startWatcher(CheckInterval.DEFAULT, false);
+        run(1_500 * NANOS_PER_MILLI);
+        behaviors.put(SECOND_ADDRESS, Behavior.SILENT);
+        carryOut(watcher.changeAddress(SECOND_ADDRESS, now));
+        run(5_100 * NANOS_PER_MILLI);
+        assertTrue(connections.keySet().stream().allMatch(c -> c.address().equals(SECOND_ADDRESS)));
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aDiscoveryBegunAnewIsAskedForAllItHas(boolean tellsWhole) {
-        begin(Pace.USUAL, false);
-        run(1_500 * MS);
+    void fullListIsRequestedAfterDiscoveryRestarts(boolean alwaysSendsFullList) {
+        startWatcher(CheckInterval.DEFAULT, false);
+        run(1_500 * NANOS_PER_MILLI);
         discovery.set("c", Phase.READY);
-        run(500 * MS);
-        discovery.tellsWhole = tellsWhole;
+        run(500 * NANOS_PER_MILLI);
+        discovery.alwaysSendsFullList = alwaysSendsFullList;
         discovery.members.remove("b");
         discovery.revision = 3;
         discovery.set("a", Phase.TERMINATING);
-        run(200 * MS);
-        assertEquals(Map.of("a", Phase.TERMINATING, "c", Phase.READY), heard);
-        assertEquals(4, follower.revision());
-        awaitDrain("c", 0);
-        assertTrue(updates.stream().anyMatch(ListUpdate::complete));
+        run(200 * NANOS_PER_MILLI);
+        assertEquals(Map.of("a", Phase.TERMINATING, "c", Phase.READY), knownPhases);
+        assertEquals(4, watcher.revision());
+        assertDrainAppliedWithin("c", 0);
+        assertTrue(appliedUpdates.stream().anyMatch(ListUpdate::complete));
     }
 
     @Test
-    void aDiscoveryThatGoesBackAgainAndAgainIsNotAskedWithoutPause() {
-        begin(Pace.USUAL, false);
-        run(100 * MS);
+    void requestsAreLimitedWhileTheRevisionGoesBackRepeatedly() {
+        startWatcher(CheckInterval.DEFAULT, false);
+        run(100 * NANOS_PER_MILLI);
         int opened = 0;
-        long end = now + 10_000 * MS;
+        long end = now + 10_000 * NANOS_PER_MILLI;
         while (now < end) {
             discovery.revision = Math.max(1, discovery.revision - 1);
-            Map<MemberListWatcher.Call, Line> before = new HashMap<>(lines);
-            run(STEP);
-            opened += lines.keySet().stream().filter(c -> !before.containsKey(c)).count();
+            Map<MemberListWatcher.Call, Connection> before = new HashMap<>(connections);
+            run(STEP_NS);
+            opened += connections.keySet().stream().filter(c -> !before.containsKey(c)).count();
         }
         assertTrue(opened <= 70, opened + " calls in 10 s");
     }
 
     @Test
-    void anotherListUnderTheSameRevisionIsFoundByTheWholeList() {
-        begin(Pace.USUAL, false);
-        run(1_500 * MS);
+    void differentListWithTheSameRevisionIsFoundByTheFullList() {
+        startWatcher(CheckInterval.DEFAULT, false);
+        run(1_500 * NANOS_PER_MILLI);
         discovery.members.put("a", member("a", Phase.TERMINATING));
         discovery.members.remove("b");
-        run(5_000 * MS + TURN);
-        assertEquals(Map.of("a", Phase.TERMINATING), heard);
+        run(5_000 * NANOS_PER_MILLI + ROUND_TRIP_NS);
+        assertEquals(Map.of("a", Phase.TERMINATING), knownPhases);
     }
 
     @Test
-    void whereListsComeOnlyWhenAskedNothingIsAskedUnasked() {
-        begin(Pace.USUAL, true);
-        run(10_000 * MS);
-        assertEquals(0, mostOpen);
-        moods.put(HERE, Mood.REFUSES);
-        carryOut(follower.subscribe(now));
-        run(5_000 * MS);
-        assertEquals(1, failures);
-        moods.put(HERE, Mood.WELL);
-        carryOut(follower.subscribe(now));
-        carryOut(follower.fetch(now));
-        awaitDrain("a", 0);
-        run(10_000 * MS);
-        assertEquals(1, lines.size());
-        assertEquals(1, failures);
-    }
-
-    /** Whatever mixture of troubles came before: five seconds after them a router knows what discovery knows. */
+    void onDemandListIsRequestedOnlyForThePolicy() {
+        startWatcher(CheckInterval.DEFAULT, true);
+        run(10_000 * NANOS_PER_MILLI);
+        assertEquals(0, maxOpenConnections);
+        behaviors.put(FIRST_ADDRESS, Behavior.REFUSES);
+        carryOut(watcher.subscribe(now));
+        run(5_000 * NANOS_PER_MILLI);
+        assertEquals(1, failedFetches);
+        behaviors.put(FIRST_ADDRESS, Behavior.NORMAL);
+        carryOut(watcher.subscribe(now));
+        carryOut(watcher.fetch(now));
+        assertDrainAppliedWithin("a", 0);
+        run(10_000 * NANOS_PER_MILLI);
+        assertEquals(1, connections.size());
+        assertEquals(1, failedFetches);
+    }
+
+    /** Five seconds after the end of any mixture of faults, the router knows the same list as discovery. */
     @Test
-    void afterAnyTroublesTheListIsKnownAgain() {
+    void listIsKnownAgainFiveSecondsAfterAnyFaults() {
         for (int seed = 1; seed <= 300; seed++) {
-            MemberListWatcherTest world = new MemberListWatcherTest();
-            world.begin(Pace.USUAL, false);
+            MemberListWatcherTest simulation = new MemberListWatcherTest();
+            simulation.startWatcher(CheckInterval.DEFAULT, false);
             SplittableRandom random = new SplittableRandom(seed);
-            for (int turn = 0; turn < 40; turn++) {
-                world.trouble(random);
-                world.run((random.nextInt(150) + 1) * STEP);
+            for (int fault = 0; fault < 40; fault++) {
+                simulation.injectFault(random);
+                simulation.run((random.nextInt(150) + 1) * STEP_NS);
             }
-            world.heal();
-            world.run(5_200 * MS + TURN);
+            simulation.endFaults();
+            simulation.run(5_200 * NANOS_PER_MILLI + ROUND_TRIP_NS);
             Map<String, Phase> listed = new HashMap<>();
-            world.discovery.whole().members().forEach(m -> listed.put(m.id(), m.phase()));
-            assertEquals(listed, world.heard, "seed " + seed);
-            assertEquals(world.discovery.revision, world.follower.revision(), "seed " + seed);
-            assertTrue(world.mostOpen <= 5, "seed " + seed + ": " + world.mostOpen + " calls at once");
-            assertNotEquals(0, world.updates.size());
+            simulation.discovery.fullList().members().forEach(m -> listed.put(m.id(), m.phase()));
+            assertEquals(listed, simulation.knownPhases, "seed " + seed);
+            assertEquals(simulation.discovery.revision, simulation.watcher.revision(), "seed " + seed);
+            assertTrue(simulation.maxOpenConnections <= 5,
+                "seed " + seed + ": " + simulation.maxOpenConnections + " calls at once");
+            assertNotEquals(0, simulation.appliedUpdates.size());
         }
     }
 
-    private void trouble(SplittableRandom random) {
+    private void injectFault(SplittableRandom random) {
         Phase[] phases = Phase.values();
-        InetSocketAddress where = random.nextBoolean() ? HERE : THERE;
+        InetSocketAddress address = random.nextBoolean() ? FIRST_ADDRESS : SECOND_ADDRESS;
         switch (random.nextInt(7)) {
             case 0, 1 -> discovery.set("m" + random.nextInt(5), phases[random.nextInt(phases.length)]);
-            case 2 -> moods.put(where, Mood.values()[random.nextInt(Mood.values().length)]);
-            case 3 -> losesConnects = random.nextBoolean();
-            case 4 -> lines.values().forEach(line -> line.lost |= random.nextInt(3) == 0);
-            case 5 -> carryOut(follower.move(where, now));
+            case 2 -> behaviors.put(address, Behavior.values()[random.nextInt(Behavior.values().length)]);
+            case 3 -> newConnectionsAreLost = random.nextBoolean();
+            case 4 -> connections.values().forEach(connection -> connection.lost |= random.nextInt(3) == 0);
+            case 5 -> carryOut(watcher.changeAddress(address, now));
             default -> {
                 if (random.nextInt(4) == 0) {
                     discovery.revision = random.nextInt((int) discovery.revision) + 1;
-                    discovery.changedAt.replaceAll((id, at) -> Math.min(at, discovery.revision));
-                    lines.values().forEach(line -> line.sent = Long.MAX_VALUE);
+                    discovery.changedAt.replaceAll((id, changedAt) -> Math.min(changedAt, discovery.revision));
+                    connections.values().forEach(connection -> connection.sentRevision = Long.MAX_VALUE);
                 }
             }
         }
     }
 
-    private void heal() {
-        moods.clear();
-        losesConnects = false;
-        for (Line line : List.copyOf(lines.values())) {
-            if (line.lost) {
-                carryOut(follower.ended(line.call, now));
+    private void endFaults() {
+        behaviors.clear();
+        newConnectionsAreLost = false;
+        for (Connection connection : List.copyOf(connections.values())) {
+            if (connection.lost) {
+                carryOut(watcher.onClosed(connection.call, now));
             }
         }
     }
 
-    private static MemberListWatcher ofMembers(int members, long seed) {
+    private static MemberListWatcher watcherWithMembers(int members, long seed) {
         List<Member> list = new ArrayList<>();
         for (int i = 0; i < members; i++) {
             list.add(member("m" + i, Phase.READY));
         }
-        MemberListWatcher follower = new MemberListWatcher(HERE, new ListUpdate(41, true, list), false, Pace.USUAL, seed);
-        follower.start(0);
-        return follower;
-    }
-
-    /** Whole lists that are asked for in that time while nothing changes and each call is closed in time. */
-    private static long wholeLists(int members, long span) {
-        MemberListWatcher follower = ofMembers(members, SEED);
-        long asked = 0;
-        for (long now = 0; now < span; now += STEP) {
-            asked += follower.tick(now).stream()
-                .filter(s -> s instanceof MemberListWatcher.Open open && open.call().purpose() == Purpose.WHOLE).count();
+        MemberListWatcher watcher = new MemberListWatcher(FIRST_ADDRESS, new ListUpdate(41, true, list), false,
+            CheckInterval.DEFAULT, seed);
+        watcher.start(0);
+        return watcher;
+    }
+
+    /** The number of requests for the full list in a period without changes, in which every call is left to time out. */
+    private static long fullListRequests(int members, long durationNs) {
+        MemberListWatcher watcher = watcherWithMembers(members, SEED);
+        long requests = 0;
+        for (long now = 0; now < durationNs; now += STEP_NS) {
+            requests += watcher.tick(now).stream()
+                .filter(s -> s instanceof MemberListWatcher.Open open && open.call().purpose() == Purpose.FULL_LIST).count();
         }
-        return asked;
+        return requests;
     }
 
     @Test
-    void bytesOfWholeListsHardlyGrowWithTheNumberOfMembers() {
-        long span = 600_000 * MS;
-        long entry = 192;
-        long usual = wholeLists(60, span) * 60 * entry;
-        long many = wholeLists(3_200, span) * 3_200 * entry;
-        assertTrue(usual > 0 && many > 0);
-        assertTrue(many <= 2 * usual + 64_000 + 500_000 * 3.2, many + " bytes, " + usual + " of sixty members");
+    void bytesOfFullListsHardlyGrowWithTheNumberOfMembers() {
+        long durationNs = 600_000 * NANOS_PER_MILLI;
+        long entryBytes = 192;
+        long bytesWith60 = fullListRequests(60, durationNs) * 60 * entryBytes;
+        long bytesWith3200 = fullListRequests(3_200, durationNs) * 3_200 * entryBytes;
+        assertTrue(bytesWith60 > 0 && bytesWith3200 > 0);
+        assertTrue(bytesWith3200 <= 2 * bytesWith60 + 64_000 + 500_000 * 3.2,
+            bytesWith3200 + " bytes, " + bytesWith60 + " with 60 members");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {100, 64 * 1024})
-    void aLargeListThatComesSlowlyIsAwaitedAndADripIsNot(int bytesPerHalfSecond) {
-        MemberListWatcher slow = new MemberListWatcher(HERE, new ListUpdate(41, true, List.of()), false, Pace.UNCHECKED,
-            SEED);
-        MemberListWatcher.Call watch = ((MemberListWatcher.Open) slow.start(0).get(0)).call();
+    void slowLargeListIsAwaitedButATrickleIsCancelled(int bytesPerHalfSecond) {
+        MemberListWatcher watcher = new MemberListWatcher(FIRST_ADDRESS, new ListUpdate(41, true, List.of()), false,
+            CheckInterval.DISABLED, SEED);
+        MemberListWatcher.Call watch = ((MemberListWatcher.Open) watcher.start(0).get(0)).call();
         boolean closed = false;
-        for (long now = 0; now < 10_000 * MS; now += 500 * MS) {
-            slow.heard(watch, false, true, bytesPerHalfSecond, now);
-            closed |= slow.tick(now).stream().anyMatch(s -> s instanceof MemberListWatcher.Close close && close.call() == watch);
+        for (long now = 0; now < 10_000 * NANOS_PER_MILLI; now += 500 * NANOS_PER_MILLI) {
+            watcher.onBytes(watch, false, true, bytesPerHalfSecond, now);
+            closed |= watcher.tick(now).stream()
+                .anyMatch(s -> s instanceof MemberListWatcher.Close close && close.call() == watch);
         }
         assertEquals(bytesPerHalfSecond < 1_000, closed);
     }
 
-    private static boolean asksForWhole(MemberListWatcher follower, long now) {
-        return follower.tick(now).stream()
-            .anyMatch(s -> s instanceof MemberListWatcher.Open open && open.call().purpose() == Purpose.WHOLE);
+    private static boolean requestsFullList(MemberListWatcher watcher, long now) {
+        return watcher.tick(now).stream()
+            .anyMatch(s -> s instanceof MemberListWatcher.Open open && open.call().purpose() == Purpose.FULL_LIST);
     }
 
     @Test
-    void aHundredRoutersThatStartTogetherDoNotAskForTheWholeListTogether() {
+    void fullListRequestsOfAHundredRoutersStartedTogetherAreSpread() {
         int routers = 100;
-        Map<Long, Integer> asked = new HashMap<>();
+        Map<Long, Integer> requests = new HashMap<>();
         for (int router = 0; router < routers; router++) {
-            MemberListWatcher follower = ofMembers(3_200, router);
+            MemberListWatcher watcher = watcherWithMembers(3_200, router);
             long now = 0;
-            while (!asksForWhole(follower, now)) {
-                now += STEP;
+            while (!requestsFullList(watcher, now)) {
+                now += STEP_NS;
             }
-            asked.merge(now / (1_000 * MS), 1, Integer::sum);
+            requests.merge(now / (1_000 * NANOS_PER_MILLI), 1, Integer::sum);
         }
-        assertTrue(asked.values().stream().allMatch(inASecond -> inASecond <= routers / 10), asked.toString());
+        assertTrue(requests.values().stream().allMatch(perSecond -> perSecond <= routers / 10), requests.toString());
     }
 }
