--- a/router/src/test/java/ledgewall/simhost/SimHostTest.java
+++ b/router/src/test/java/ledgewall/simhost/SimHostTest.java
@@ -21,64 +21,65 @@
         + "\"classes\":[{\"aimNs\":500000000,\"deadlineNs\":1500000000,\"effect\":\"idempotent\"}],"
         + "\"domain\":{\"needsByClass\":[\"any\"],\"originTimeNs\":1000000000,\"behind\":\"refuse\"},"
         + "\"ceilings\":{\"probing\":true,\"maxAttempts\":3},"
-        + "\"rules\":{\"warmAfterNs\":1000000000},\"report\":{\"how\":\"none\"},\"surprise\":[1,{}]}";
+        + "\"rules\":{\"warmAfterNs\":1000000000},\"report\":{\"how\":\"none\"},\"unknownField\":[1,{}]}";
 
-    /** Records what it is told and answers with what it was given. */
-    private static final class Recorder implements RoutingPolicy {
-        final List<Event> seen = new ArrayList<>();
-        List<Action> answer = List.of();
+    /** Records the events it receives and returns the actions that a test has set. */
+    private static final class RecordingPolicy implements RoutingPolicy {
+        final List<Event> received = new ArrayList<>();
+        List<Action> actions = List.of();
 
         @Override
         public List<Action> decide(long now, List<Event> events) {
-            seen.addAll(events);
-            return answer;
+            received.addAll(events);
+            return actions;
         }
     }
 
-    private final List<Recorder> recorders = new ArrayList<>();
+    private final List<RecordingPolicy> policies = new ArrayList<>();
     private final SimHost host = new SimHost((settings, seed) -> {
-        recorders.add(new Recorder());
-        return recorders.get(recorders.size() - 1);
+        policies.add(new RecordingPolicy());
+        return policies.get(policies.size() - 1);
     });
 
     private static String batch(String... messages) {
         return "{\"atTimeNs\":9000000000,\"msgs\":[" + String.join(",", messages) + "]}";
     }
 
-    private static String begin(int who) {
-        return "{\"what\":\"begin\",\"who\":" + who + ",\"salt\":" + (11 + who) + ",\"info\":" + INFO + "}";
+    private static String begin(int instance) {
+        return "{\"what\":\"begin\",\"who\":" + instance + ",\"salt\":" + (11 + instance) + ",\"info\":" + INFO + "}";
     }
 
-    private static String list(int number, String host) {
-        return "{\"what\":\"defineList\",\"rosterId\":" + number + ",\"elements\":[{\"host\":\"" + host
+    private static String defineList(int rosterId, String member) {
+        return "{\"what\":\"defineList\",\"rosterId\":" + rosterId + ",\"elements\":[{\"host\":\"" + member
             + "\",\"zone\":1,\"shard\":4,\"phase\":\"IN\",\"bornNs\":null}]}";
     }
 
-    private static String update(int who, int number) {
-        return "{\"what\":\"directoryUpdate\",\"who\":" + who + ",\"kind\":\"cached\",\"version\":1,\"rosterId\":"
-            + number + "}";
+    private static String directoryUpdate(int instance, int rosterId) {
+        return "{\"what\":\"directoryUpdate\",\"who\":" + instance + ",\"kind\":\"cached\",\"version\":1,\"rosterId\":"
+            + rosterId + "}";
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
+    void emptyBatchGetsAnEmptyReply() throws IOException {
         assertEquals("{\"do\":[]}\n", host.reply(batch(), "line 1"));
     }
 
     @Test
-    void aReusedListNumberIsResolvedInTheOrderOfEvents() throws IOException {
-        host.reply(batch(begin(0), begin(1), list(3, "x:1"), update(0, 3), list(3, "y:1"), update(1, 3)), "line 1");
-        assertEquals("x:1", ((MemberList) recorders.get(0).seen.get(0)).listings().get(0).member());
-        assertEquals("y:1", ((MemberList) recorders.get(1).seen.get(0)).listings().get(0).member());
+    void reusedRosterIdRefersToItsLatestDefinition() throws IOException {
+        host.reply(batch(begin(0), begin(1), defineList(3, "x:1"), directoryUpdate(0, 3), defineList(3, "y:1"),
+            directoryUpdate(1, 3)), "line 1");
+        assertEquals("x:1", ((MemberList) policies.get(0).received.get(0)).listings().get(0).member());
+        assertEquals("y:1", ((MemberList) policies.get(1).received.get(0)).listings().get(0).member());
     }
 
     @Test
-    void aRestartInOneBatchLeavesTheOldLifeBehind() throws IOException {
-        host.reply(batch(begin(0), list(0, "x:1"), update(0, 0)), "line 1");
-        String tick = "{\"what\":\"tickDue\",\"who\":0,\"handle\":7}";
-        host.reply(batch(tick, "{\"what\":\"teardown\",\"who\":0}", begin(0), update(0, 0)), "line 2");
-        assertEquals(2, recorders.size());
-        assertEquals(1, recorders.get(0).seen.size());
-        assertEquals(1, recorders.get(1).seen.size());
+    void restartWithinABatchDropsEventsOfTheEndedInstance() throws IOException {
+        host.reply(batch(begin(0), defineList(0, "x:1"), directoryUpdate(0, 0)), "line 1");
+        String timerDue = "{\"what\":\"tickDue\",\"who\":0,\"handle\":7}";
+        host.reply(batch(timerDue, "{\"what\":\"teardown\",\"who\":0}", begin(0), directoryUpdate(0, 0)), "line 2");
+        assertEquals(2, policies.size());
+        assertEquals(1, policies.get(0).received.size());
+        assertEquals(1, policies.get(1).received.size());
     }
 
     @Test
@@ -86,7 +87,7 @@
         host.reply(batch(begin(0)), "line 1");
         host.reply(batch("{\"what\":\"verdict\",\"who\":0,\"ticket\":9,\"leg\":1,\"host\":\"x:1\",\"elapsedNs\":5,"
             + "\"complete\":false,\"mark\":10001,\"result\":\"MISS\",\"report\":{\"x0\":1.5,\"x1\":0}}"), "line 2");
-        Outcome outcome = (Outcome) recorders.get(0).seen.get(0);
+        Outcome outcome = (Outcome) policies.get(0).received.get(0);
         assertEquals(Result.MISSED, outcome.result());
         assertEquals(Role.PRIMARY, outcome.role());
         assertEquals(1_000_000_000L + 2_500L * 1_000_000L, outcome.position());
@@ -95,21 +96,21 @@
     }
 
     @Test
-    void everyResultWordIsKnown() throws IOException {
+    void everyResultIsParsed() throws IOException {
         host.reply(batch(begin(0)), "line 1");
-        List<String> words = List.of("GOOD", "BAD", "FULL", "LATE", "NOCONN", "RST", "CXL", "NOP", "MISS");
-        for (String word : words) {
-            host.reply(batch("{\"what\":\"echo\",\"who\":0,\"host\":\"x:1\",\"elapsedNs\":5,\"result\":\"" + word
+        List<String> wireNames = List.of("GOOD", "BAD", "FULL", "LATE", "NOCONN", "RST", "CXL", "NOP", "MISS");
+        for (String wireName : wireNames) {
+            host.reply(batch("{\"what\":\"echo\",\"who\":0,\"host\":\"x:1\",\"elapsedNs\":5,\"result\":\"" + wireName
                 + "\",\"report\":null}"), "line 2");
         }
-        List<Result> results = recorders.get(0).seen.stream().map(e -> ((ProbeResult) e).result()).toList();
+        List<Result> results = policies.get(0).received.stream().map(e -> ((ProbeResult) e).result()).toList();
         assertEquals(List.of(Result.values()), results);
     }
 
     @Test
-    void everyActionHasItsWords() throws IOException {
+    void everyActionIsWritten() throws IOException {
         host.reply(batch(begin(0)), "line 1");
-        recorders.get(0).answer = List.of(new Send(1, "x:1", 5), new Refuse(2, 6), new Fail(3), new Cancel(4, 1),
+        policies.get(0).actions = List.of(new Send(1, "x:1", 5), new Refuse(2, 6), new Fail(3), new Cancel(4, 1),
             new Probe("x:1"), new SetTimer(9, 8), new Subscribe(), new FetchList(),
             new Disconnect("x:1"), new Tell(2, new byte[] {104, 105}), new Tell(RoutingPolicy.NONE, new byte[0]),
             new Note("a \"note\""));
@@ -130,18 +131,19 @@
     }
 
     @Test
-    void unknownKindsAndFieldsAreSkippedAndStrangersIgnored() throws IOException {
+    void unknownKindsFieldsAndInstancesAreIgnored() throws IOException {
         host.reply(batch(begin(0)), "line 1");
-        assertEquals("{\"do\":[]}\n", host.reply(batch("{\"what\":\"festival\"}", "{\"what\":\"fair\",\"who\":0}",
-            "{\"what\":\"tickDue\",\"who\":8,\"handle\":1,\"colour\":\"red\"}"), "line 2"));
-        assertTrue(recorders.get(0).seen.isEmpty());
+        assertEquals("{\"do\":[]}\n", host.reply(batch("{\"what\":\"unknownKind\"}",
+            "{\"what\":\"otherUnknownKind\",\"who\":0}",
+            "{\"what\":\"tickDue\",\"who\":8,\"handle\":1,\"unknownField\":\"x\"}"), "line 2"));
+        assertTrue(policies.get(0).received.isEmpty());
     }
 
     @Test
-    void malformedInputIsNamedWithItsPlace() {
+    void errorMessageNamesTheLocationOfMalformedInput() {
         assertMessage("line 4: no JSON", "{\"atTimeNs\":");
         assertMessage("line 4: lacks 'atTimeNs'", "{\"msgs\":[]}");
-        assertMessage("line 4, msgs[1]: lacks 'salt'", batch(list(0, "x:1"), "{\"what\":\"begin\",\"who\":0,\"info\":{}}"));
+        assertMessage("line 4, msgs[1]: lacks 'salt'", batch(defineList(0, "x:1"), "{\"what\":\"begin\",\"who\":0,\"info\":{}}"));
         assertMessage("line 4, msgs[0]: lacks 'what'", batch("{}"));
         assertMessage("line 4, msgs[0]: lacks 'ticket'", batch("{\"what\":\"verdict\",\"who\":0}"));
         assertMessage("line 4, msgs[0]: lacks 'who'", batch("{\"what\":\"tickDue\",\"handle\":1}"));
@@ -154,16 +156,16 @@
     }
 
     @Test
-    void instancesActAlikeTogetherAndAlone() throws IOException {
-        String both = serve(batch(begin(0), begin(1), list(0, "x:1"), update(0, 0), update(1, 0)));
-        String first = serve(batch(begin(0), list(0, "x:1"), update(0, 0)));
-        String second = serve(batch(begin(1), list(0, "x:1"), update(1, 0)));
-        assertEquals(both.length(), first.length() + second.length() - "{\"do\":[]}\n".length() + 1);
-        assertTrue(both.startsWith(first.substring(0, first.length() - 3)));
+    void instancesInOneProcessActAsInSeparateProcesses() throws IOException {
+        String together = serve(batch(begin(0), begin(1), defineList(0, "x:1"), directoryUpdate(0, 0), directoryUpdate(1, 0)));
+        String first = serve(batch(begin(0), defineList(0, "x:1"), directoryUpdate(0, 0)));
+        String second = serve(batch(begin(1), defineList(0, "x:1"), directoryUpdate(1, 0)));
+        assertEquals(together.length(), first.length() + second.length() - "{\"do\":[]}\n".length() + 1);
+        assertTrue(together.startsWith(first.substring(0, first.length() - 3)));
     }
 
     @Test
-    void theEndOfInputEndsTheService() throws IOException {
+    void serviceEndsAtTheEndOfInput() throws IOException {
         assertEquals("", serve(""));
     }
 
