--- a/router/src/test/java/ledgewall/fleet/FaultSoakTest.java
+++ b/router/src/test/java/ledgewall/fleet/FaultSoakTest.java
@@ -18,17 +18,18 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * A router process beside a fleet of hosts, under faults that a seed draws: hosts that hang, reset or are full, members that
- * start anew by the hundred, primaries that change, crowds of idle clients, SIGHUP, and SIGTERM in the middle of it. The
- * system properties ledgewall.seed and ledgewall.seeds choose others.
+ * Runs a router process against a fleet of hosts under faults drawn from a seed: hosts that hang, reset connections or reject
+ * them as full, restarts of hundreds of members, failovers, many idle clients, SIGHUP, and finally SIGTERM under load. The
+ * system properties ledgewall.seed and ledgewall.seeds set the first seed and the number of seeds.
  */
 @Timeout(120)
 class FaultSoakTest {
-    private static final int SECONDS = 6;
-    private static final int WAIT_MS = 800;
-    /** From SIGTERM on the process has the longest deadline and 0.7 s more. */
-    private static final int UNTIL_KILLED_MS = WAIT_MS + 700;
-    private static final int STILL_CONNECTING_MS = 300;
+    private static final int LOAD_SECONDS = 6;
+    private static final int REQUEST_DEADLINE_MS = 800;
+    /** The time that the process has to exit after SIGTERM: the longest deadline and 0.7 s. */
+    private static final int SHUTDOWN_TIMEOUT_MS = REQUEST_DEADLINE_MS + 700;
+    /** How long after SIGTERM the clients go on opening connections. */
+    private static final int NEW_CONNECTIONS_MS = 300;
 
     @TempDir
     private Path folder;
@@ -40,58 +41,59 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void eachRequestGetsItsAnswerInTime(long seed) throws IOException, InterruptedException {
+    void everyRequestIsAnsweredInTime(long seed) throws IOException, InterruptedException {
         SplittableRandom random = new SplittableRandom(seed);
-        int hosts = FleetConfig.GROUP * (random.nextBoolean() ? 15 : 240 + random.nextInt(560));
+        int hosts = FleetConfig.GROUP_SIZE * (random.nextBoolean() ? 15 : 240 + random.nextInt(560));
         int sockets = 128 + 64 * random.nextInt(7);
         try (HostFarm primaries = new HostFarm(true); HostFarm replicas = new HostFarm(false)) {
             List<String> entries = new ArrayList<>();
             for (int i = 0; i < hosts; i++) {
                 entries.add(FleetConfig.entry(i, (FleetConfig.isPrimary(i) ? primaries : replicas).address(), 0));
             }
-            try (MemberDirectory directory = new MemberDirectory(entries);
-                    RouterProcess router = new RouterProcess(folder, FleetConfig.router(directory, sockets, ""));
-                    ClientCrowd clients = new ClientCrowd(router.address(), hosts / FleetConfig.GROUP, seed)) {
-                Thread faults = new Thread(() -> faults(random.split(), directory, primaries, replicas, hosts, router));
+            try (DiscoveryServer discovery = new DiscoveryServer(entries);
+                    RouterProcess router = new RouterProcess(folder, FleetConfig.routerConfig(discovery, sockets, ""));
+                    LoadGenerator load = new LoadGenerator(router.address(), hosts / FleetConfig.GROUP_SIZE, seed)) {
+                Thread faults = new Thread(() -> injectFaults(random.split(), discovery, primaries, replicas, hosts, router));
                 faults.start();
-                clients.run(20 + random.nextInt(40), SECONDS, WAIT_MS);
+                load.run(20 + random.nextInt(40), LOAD_SECONDS, REQUEST_DEADLINE_MS);
                 faults.join();
-                endWhileClientsAsk(router, clients);
-                assertEquals(0, clients.lost().size(), () -> "seed " + seed + ", " + hosts + " hosts, " + sockets + " sockets: "
-                    + clients.lost().stream().limit(5).toList());
+                assertExitsInTimeUnderLoad(router, load);
+                assertEquals(0, load.unanswered().size(), () -> "seed " + seed + ", " + hosts + " hosts, " + sockets
+                    + " sockets: " + load.unanswered().stream().limit(5).toList());
             }
         }
     }
 
-    private static void endWhileClientsAsk(RouterProcess router, ClientCrowd clients) throws IOException, InterruptedException {
-        router.terminate();
-        long killed = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(UNTIL_KILLED_MS);
-        clients.runUntilClosed(STILL_CONNECTING_MS, UNTIL_KILLED_MS, WAIT_MS);
-        assertTrue(router.endsBy(killed), "the router has not ended in its time");
+    private static void assertExitsInTimeUnderLoad(RouterProcess router, LoadGenerator load)
+            throws IOException, InterruptedException {
+        router.sendSigterm();
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SHUTDOWN_TIMEOUT_MS);
+        load.runUntilClosed(NEW_CONNECTIONS_MS, SHUTDOWN_TIMEOUT_MS, REQUEST_DEADLINE_MS);
+        assertTrue(router.exitsBy(deadline), "the router has not exited in time");
     }
 
-    private static void faults(SplittableRandom random, MemberDirectory directory, HostFarm primaries, HostFarm replicas,
-                               int hosts, RouterProcess router) {
-        List<Client> idle = new ArrayList<>();
+    private static void injectFaults(SplittableRandom random, DiscoveryServer discovery, HostFarm primaries, HostFarm replicas,
+                                     int hosts, RouterProcess router) {
+        List<Client> idleClients = new ArrayList<>();
         try {
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(SECONDS);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LOAD_SECONDS);
             while (System.nanoTime() < end) {
-                HostFarm farm = random.nextBoolean() ? primaries : replicas;
+                HostFarm hostFarm = random.nextBoolean() ? primaries : replicas;
                 switch (random.nextInt(7)) {
-                    case 0 -> farm.mood(HostFarm.Mood.HANGS);
-                    case 1 -> farm.mood(HostFarm.Mood.RESETS);
-                    case 2 -> farm.mood(HostFarm.Mood.FULL);
-                    case 3 -> directory.change(restarts(random, replicas, hosts));
-                    case 4 -> directory.change(newPrimaries(random, primaries, replicas, hosts));
-                    case 5 -> crowd(router, idle);
-                    default -> router.hangUp();
+                    case 0 -> hostFarm.mood(HostFarm.Mood.HANGS);
+                    case 1 -> hostFarm.mood(HostFarm.Mood.RESETS);
+                    case 2 -> hostFarm.mood(HostFarm.Mood.FULL);
+                    case 3 -> discovery.publish(restartedReplicaEntries(random, replicas, hosts));
+                    case 4 -> discovery.publish(failoverEntries(random, primaries, replicas, hosts));
+                    case 5 -> openIdleClients(router, idleClients);
+                    default -> router.sendSighup();
                 }
                 TimeUnit.MILLISECONDS.sleep(200 + random.nextInt(600));
                 if (random.nextBoolean()) {
-                    farm.mood(HostFarm.Mood.WELL);
+                    hostFarm.mood(HostFarm.Mood.WELL);
                 }
             }
-            for (Client client : idle) {
+            for (Client client : idleClients) {
                 client.close();
             }
         } catch (IOException | InterruptedException e) {
@@ -99,30 +101,32 @@
         }
     }
 
-    private static void crowd(RouterProcess router, List<Client> idle) throws IOException {
+    private static void openIdleClients(RouterProcess router, List<Client> idleClients) throws IOException {
         for (int i = 0; i < 40; i++) {
-            idle.add(new Client(router.address()));
+            idleClients.add(new Client(router.address()));
         }
     }
 
-    private static List<String> restarts(SplittableRandom random, HostFarm replicas, int hosts) {
-        List<String> changed = new ArrayList<>();
+    /** New entries, with the present as start time, for about a third of the replicas. */
+    private static List<String> restartedReplicaEntries(SplittableRandom random, HostFarm replicas, int hosts) {
+        List<String> changedEntries = new ArrayList<>();
         for (int host = 0; host < hosts; host++) {
             if (!FleetConfig.isPrimary(host) && random.nextInt(3) == 0) {
-                changed.add(FleetConfig.entry(host, replicas.address(), System.currentTimeMillis()));
+                changedEntries.add(FleetConfig.entry(host, replicas.address(), System.currentTimeMillis()));
             }
         }
-        return changed;
+        return changedEntries;
     }
 
-    private static List<String> newPrimaries(SplittableRandom random, HostFarm primaries, HostFarm replicas, int hosts) {
-        List<String> changed = new ArrayList<>();
-        for (int group = 0; group < hosts / FleetConfig.GROUP; group++) {
+    /** New entries that exchange the primary and its successor in about a quarter of the groups. */
+    private static List<String> failoverEntries(SplittableRandom random, HostFarm primaries, HostFarm replicas, int hosts) {
+        List<String> changedEntries = new ArrayList<>();
+        for (int group = 0; group < hosts / FleetConfig.GROUP_SIZE; group++) {
             if (random.nextInt(4) == 0) {
-                changed.add(FleetConfig.entry(FleetConfig.primary(group), replicas.address(), 0));
-                changed.add(FleetConfig.entry(FleetConfig.successor(group), primaries.address(), 0));
+                changedEntries.add(FleetConfig.entry(FleetConfig.primaryOf(group), replicas.address(), 0));
+                changedEntries.add(FleetConfig.entry(FleetConfig.successorOf(group), primaries.address(), 0));
             }
         }
-        return changed;
+        return changedEntries;
     }
 }
--- a/router/src/test/java/ledgewall/fleet/FleetSizeTest.java
+++ b/router/src/test/java/ledgewall/fleet/FleetSizeTest.java
@@ -15,80 +15,81 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * One router process of a hundred beside database hosts of the usual and of sixteen times the usual number and more, the
- * traffic being the same. Bounds are those of the standing test for larger fleets.
+ * Runs one router process of a fleet of a hundred against the usual number of database hosts and, with the same load, against
+ * sixteen times as many; further tests use 3,200 hosts. The bounds are those of the regular test for larger fleets.
  */
 @Timeout(180)
 class FleetSizeTest {
-    private static final int GROUP = FleetConfig.GROUP;
+    private static final int GROUP_SIZE = FleetConfig.GROUP_SIZE;
     private static final int USUAL_HOSTS = 60;
     private static final int MANY_HOSTS = 16 * USUAL_HOSTS;
-    private static final int SOCKETS = 512;
-    private static final int PER_SECOND = 12;
-    private static final int SECONDS = 20;
+    private static final int MAX_SOCKETS = 512;
+    private static final int REQUESTS_PER_SECOND = 12;
+    private static final int LOAD_SECONDS = 20;
     private static final long SEED = 28;
 
     @TempDir
     private static Path folder;
-    private static Outcome usual;
-    private static Outcome many;
+    private static Measurement usual;
+    private static Measurement many;
 
-    /** What a router needed, and what became of its clients. */
-    private record Outcome(int asked, int served, List<String> lost, double processorSeconds, long descriptors,
-                           int connections, long listBytes) { }
+    /** The resources that a router used, and how the requests ended. */
+    private record Measurement(int requests, int answeredWithData, List<String> unanswered, double cpuSeconds, long descriptors,
+                               int connections, long listBytes) { }
 
-    /** A fleet of so many hosts and what happens there. */
-    private record Scene(int hosts, int sockets, int perSecond, int seconds, boolean fellows, HostFarm.Mood mood) { }
+    /** The size of a fleet, the limit for the sockets of its router, the load, and the behavior of its hosts. */
+    private record Scenario(int hosts, int sockets, int requestsPerSecond, int seconds, boolean hasPeers, HostFarm.Mood mood) { }
 
     @BeforeAll
-    static void playBothSizes() throws IOException, InterruptedException {
-        usual = play(new Scene(USUAL_HOSTS, SOCKETS, PER_SECOND, SECONDS, true, HostFarm.Mood.WELL));
-        many = play(new Scene(MANY_HOSTS, SOCKETS, PER_SECOND, SECONDS, true, HostFarm.Mood.WELL));
+    static void measureBothSizes() throws IOException, InterruptedException {
+        usual = measure(new Scenario(USUAL_HOSTS, MAX_SOCKETS, REQUESTS_PER_SECOND, LOAD_SECONDS, true, HostFarm.Mood.WELL));
+        many = measure(new Scenario(MANY_HOSTS, MAX_SOCKETS, REQUESTS_PER_SECOND, LOAD_SECONDS, true, HostFarm.Mood.WELL));
     }
 
-    private static Outcome play(Scene scene) throws IOException, InterruptedException {
+    private static Measurement measure(Scenario scenario) throws IOException, InterruptedException {
         try (HostFarm primaries = new HostFarm(true); HostFarm replicas = new HostFarm(false);
-                FellowRouters fellows = new FellowRouters(FleetConfig.ROUTERS, FleetConfig.RANK)) {
-            primaries.mood(scene.mood());
-            replicas.mood(scene.mood());
+                PeerRouters peers = new PeerRouters(FleetConfig.ROUTERS, FleetConfig.RANK)) {
+            primaries.mood(scenario.mood());
+            replicas.mood(scenario.mood());
             List<String> entries = new ArrayList<>();
-            for (int i = 0; i < scene.hosts(); i++) {
+            for (int i = 0; i < scenario.hosts(); i++) {
                 entries.add(FleetConfig.entry(i, (FleetConfig.isPrimary(i) ? primaries : replicas).address(), 0));
             }
-            try (MemberDirectory directory = new MemberDirectory(entries);
+            try (DiscoveryServer discovery = new DiscoveryServer(entries);
                     RouterProcess router = new RouterProcess(folder,
-                        FleetConfig.router(directory, scene.sockets(), scene.fellows() ? fellows.config() : ""));
-                    ClientCrowd clients = new ClientCrowd(router.address(), scene.hosts() / GROUP, SEED)) {
-                double before = router.processorSeconds();
-                fellows.tellPrimaries(IntStream.range(0, scene.hosts() / GROUP)
-                    .mapToObj(group -> "s-" + FleetConfig.primary(group)).toList());
-                Thread changes = new Thread(() -> change(directory, primaries, replicas, scene), "changes");
+                        FleetConfig.routerConfig(discovery, scenario.sockets(),
+                            scenario.hasPeers() ? peers.configFragment() : ""));
+                    LoadGenerator load = new LoadGenerator(router.address(), scenario.hosts() / GROUP_SIZE, SEED)) {
+                double cpuSecondsBefore = router.cpuSeconds();
+                peers.announcePrimaries(IntStream.range(0, scenario.hosts() / GROUP_SIZE)
+                    .mapToObj(group -> "s-" + FleetConfig.primaryOf(group)).toList());
+                Thread changes = new Thread(() -> changeMembers(discovery, primaries, replicas, scenario), "changes");
                 changes.start();
-                clients.run(scene.perSecond(), scene.seconds(), 800);
-                Outcome outcome = new Outcome(clients.asked(), clients.served(), clients.lost(),
-                    router.processorSeconds() - before, router.descriptors(),
-                    primaries.connections() + replicas.connections(), directory.bytes());
+                load.run(scenario.requestsPerSecond(), scenario.seconds(), 800);
+                Measurement measurement = new Measurement(load.started(), load.answeredWithData(), load.unanswered(),
+                    router.cpuSeconds() - cpuSecondsBefore, router.openDescriptors(),
+                    primaries.connections() + replicas.connections(), discovery.bodyBytes());
                 changes.join();
-                System.out.println(scene + " " + outcome);
-                return outcome;
+                System.out.println(scenario + " " + measurement);
+                return measurement;
             }
         }
     }
 
-    /** A replica starts anew each two seconds; in the middle eleven groups, or all there are, have a new primary at once. */
-    private static void change(MemberDirectory directory, HostFarm primaries, HostFarm replicas, Scene scene) {
+    /** Restarts a replica every two seconds; halfway through, eleven groups, or all if there are fewer, fail over at once. */
+    private static void changeMembers(DiscoveryServer discovery, HostFarm primaries, HostFarm replicas, Scenario scenario) {
         try {
-            for (int second = 2; second < scene.seconds(); second += 2) {
+            for (int second = 2; second < scenario.seconds(); second += 2) {
                 Thread.sleep(2_000);
-                int member = FleetConfig.successor(second % (scene.hosts() / GROUP));
-                directory.change(List.of(FleetConfig.entry(member, replicas.address(), System.currentTimeMillis())));
-                if (second == scene.seconds() / 2) {
-                    List<String> changed = new ArrayList<>();
-                    for (int group = 0; group < Math.min(11, scene.hosts() / GROUP); group++) {
-                        changed.add(FleetConfig.entry(FleetConfig.primary(group), replicas.address(), 0));
-                        changed.add(FleetConfig.entry(FleetConfig.successor(group), primaries.address(), 0));
+                int member = FleetConfig.successorOf(second % (scenario.hosts() / GROUP_SIZE));
+                discovery.publish(List.of(FleetConfig.entry(member, replicas.address(), System.currentTimeMillis())));
+                if (second == scenario.seconds() / 2) {
+                    List<String> changedEntries = new ArrayList<>();
+                    for (int group = 0; group < Math.min(11, scenario.hosts() / GROUP_SIZE); group++) {
+                        changedEntries.add(FleetConfig.entry(FleetConfig.primaryOf(group), replicas.address(), 0));
+                        changedEntries.add(FleetConfig.entry(FleetConfig.successorOf(group), primaries.address(), 0));
                     }
-                    directory.change(changed);
+                    discovery.publish(changedEntries);
                 }
             }
         } catch (InterruptedException e) {
@@ -96,37 +97,38 @@
         }
     }
 
-    private static void assertNothingLost(Outcome outcome) {
-        assertEquals(0, outcome.lost().size(), () -> outcome.lost().stream().limit(5).toList().toString());
+    private static void assertAllAnswered(Measurement measurement) {
+        assertEquals(0, measurement.unanswered().size(), () -> measurement.unanswered().stream().limit(5).toList().toString());
     }
 
     @Test
-    void noRequestIsLeftUnansweredWhereConnectionsToThousandsOfHostsCouldFillTheDescriptors()
+    void everyRequestIsAnsweredWithMoreHostsThanSockets()
             throws IOException, InterruptedException {
-        Outcome outcome = play(new Scene(3_200, 192, 30, 12, false, HostFarm.Mood.WELL));
-        assertNothingLost(outcome);
-        assertTrue(outcome.served() > outcome.asked() / 2, outcome.toString());
+        Measurement measurement = measure(new Scenario(3_200, 192, 30, 12, false, HostFarm.Mood.WELL));
+        assertAllAnswered(measurement);
+        assertTrue(measurement.answeredWithData() > measurement.requests() / 2, measurement.toString());
     }
 
     @Test
-    void noRequestIsLeftUnansweredWhereThousandsOfHostsHang() throws IOException, InterruptedException {
-        Outcome outcome = play(new Scene(3_200, 192, 30, 6, false, HostFarm.Mood.HANGS));
-        assertNothingLost(outcome);
+    void everyRequestIsAnsweredWhileThousandsOfHostsHang() throws IOException, InterruptedException {
+        Measurement measurement = measure(new Scenario(3_200, 192, 30, 6, false, HostFarm.Mood.HANGS));
+        assertAllAnswered(measurement);
     }
 
     @Test
     void requestsAreServedAsWellWithSixteenTimesTheHosts() {
-        assertNothingLost(usual);
-        assertNothingLost(many);
-        assertTrue(many.served() / (double) many.asked() >= 0.85 * usual.served() / usual.asked(), usual + " " + many);
+        assertAllAnswered(usual);
+        assertAllAnswered(many);
+        assertTrue(many.answeredWithData() / (double) many.requests()
+            >= 0.85 * usual.answeredWithData() / usual.requests(), usual + " " + many);
     }
 
     @Test
-    void processorTimeDescriptorsAndListsHardlyGrowWithSixteenTimesTheHosts() {
-        double thousands = MANY_HOSTS / 1e3;
-        assertTrue(many.processorSeconds() <= 1.4 * usual.processorSeconds() + 0.02 + 0.12 * thousands, usual + " " + many);
+    void cpuTimeDescriptorsAndListBytesHardlyGrowWithSixteenTimesTheHosts() {
+        double thousandsOfHosts = MANY_HOSTS / 1e3;
+        assertTrue(many.cpuSeconds() <= 1.4 * usual.cpuSeconds() + 0.02 + 0.12 * thousandsOfHosts, usual + " " + many);
         assertTrue(many.descriptors() <= 2 * usual.descriptors() + 40, usual + " " + many);
-        assertTrue(many.listBytes() <= 2 * usual.listBytes() + 64_000 + 500_000 * thousands, usual + " " + many);
+        assertTrue(many.listBytes() <= 2 * usual.listBytes() + 64_000 + 500_000 * thousandsOfHosts, usual + " " + many);
     }
 
     @Test
--- a/router/src/test/java/ledgewall/fleet/RouterProcess.java
+++ b/router/src/test/java/ledgewall/fleet/RouterProcess.java
@@ -12,19 +12,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** A router as a process of its own, with the memory settings of the platform, and what the system says of it. */
+/** A router in a process of its own, with the memory settings of the target platform; reads its resource use from /proc. */
 final class RouterProcess implements AutoCloseable {
-    private static final long START_MS = 30_000;
-    /** Of /proc/PID/stat behind the command's name: user and system time, in ticks of 10 ms. */
-    private static final int USER_TICKS = 11;
-    private static final int SYSTEM_TICKS = 12;
+    private static final long START_TIMEOUT_MS = 30_000;
+    /** Indexes of user and system CPU time among the fields of /proc/PID/stat after the command name; in ticks of 10 ms. */
+    private static final int USER_TIME_FIELD = 11;
+    private static final int SYSTEM_TIME_FIELD = 12;
     private static final double TICKS_PER_SECOND = 100;
 
     private final Process process;
     private final Path log;
     private final InetSocketAddress address;
 
-    /** Starts one; {@code config} has %s where its listening address belongs. */
+    /** Starts a router and waits until it listens; {@code config} has %s in place of the listening address. */
     RouterProcess(Path folder, String config) throws IOException, InterruptedException {
         address = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
         Path file = folder.resolve("router.json");
@@ -36,7 +36,7 @@
             "-Dorg.slf4j.simpleLogger.defaultLogLevel=" + System.getProperty("ledgewall.log", "info"),
             "-cp", System.getProperty("java.class.path"), "ledgewall.Main", "serve", file.toString()));
         process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile()).start();
-        awaitLine("listens on");
+        awaitLog("listens on");
     }
 
     private static int freePort() throws IOException {
@@ -45,11 +45,11 @@
         }
     }
 
-    private void awaitLine(String part) throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_MS);
-        while (!log().contains(part)) {
-            if (!process.isAlive() || System.nanoTime() > end) {
-                throw new IOException("the router does not say '" + part + "': " + log());
+    private void awaitLog(String text) throws IOException, InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MS);
+        while (!log().contains(text)) {
+            if (!process.isAlive() || System.nanoTime() > deadline) {
+                throw new IOException("the log of the router lacks '" + text + "': " + log());
             }
             process.waitFor(20, TimeUnit.MILLISECONDS);
         }
@@ -63,33 +63,32 @@
         return Files.readString(log, StandardCharsets.UTF_8);
     }
 
-    double processorSeconds() throws IOException {
+    /** User and system time used so far. */
+    double cpuSeconds() throws IOException {
         String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS])) / TICKS_PER_SECOND;
+        return (Long.parseLong(fields[USER_TIME_FIELD]) + Long.parseLong(fields[SYSTEM_TIME_FIELD])) / TICKS_PER_SECOND;
     }
 
-    long descriptors() throws IOException {
+    long openDescriptors() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
             return files.count();
         }
     }
 
-    /** Sends SIGHUP. */
-    void hangUp() throws IOException, InterruptedException {
+    void sendSighup() throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-HUP", "" + process.pid()).start().waitFor();
     }
 
-    /** Sends SIGTERM. */
-    void terminate() {
+    void sendSigterm() {
         process.destroy();
     }
 
-    /** Whether the process ends by that time, in nanoseconds; it is killed if not. */
-    boolean endsBy(long time) throws InterruptedException {
-        boolean ended = process.waitFor(Math.max(1, time - System.nanoTime()), TimeUnit.NANOSECONDS);
+    /** Waits for the process to exit, and kills it if it has not done so by the deadline, a {@link System#nanoTime()}. */
+    boolean exitsBy(long deadlineNs) throws InterruptedException {
+        boolean exited = process.waitFor(Math.max(1, deadlineNs - System.nanoTime()), TimeUnit.NANOSECONDS);
         process.destroyForcibly();
-        return ended;
+        return exited;
     }
 
     @Override
