--- a/router/src/main/java/ledgewall/discovery/MemberListWatcher.java
+++ b/router/src/main/java/ledgewall/discovery/MemberListWatcher.java
@@ -57,11 +57,15 @@
         FETCH
     }
 
-    /** The time between checks in nanoseconds; 0 for no checks. */
-    public record CheckInterval(long nanos) {
+    /**
+     * Whether and how often checks are sent beside the watch.
+     *
+     * @param intervalNs the time between checks in nanoseconds; 0 for no checks
+     */
+    public record Checks(long intervalNs) {
         /** Well within the one or two seconds that rules allow a router for acting on a change. */
-        public static final CheckInterval DEFAULT = new CheckInterval(1_000 * NANOS_PER_MILLI);
-        public static final CheckInterval DISABLED = new CheckInterval(0);
+        public static final Checks DEFAULT = new Checks(1_000 * NANOS_PER_MILLI);
+        public static final Checks DISABLED = new Checks(0);
     }
 
     /** One HTTP request to discovery, on a connection of its own, from opening to closing. */
@@ -128,7 +132,7 @@
     public record FetchFailed() implements Step { }
 
     private final boolean onDemand;
-    private final CheckInterval checkInterval;
+    private final Checks checks;
     private final SplittableRandom random;
     /** Open calls: a watch, the previous one after a change of address, checks of up to a second each, and fetches. */
     private final Set<Call> open = new HashSet<>();
@@ -158,12 +162,11 @@
      * @param onDemand whether discovery is asked only when the policy requests the list
      * @param seed spreads the calls of routers that start, or lose discovery, at the same moment
      */
-    public MemberListWatcher(InetSocketAddress address, ListUpdate list, boolean onDemand, CheckInterval checkInterval,
-                             long seed) {
+    public MemberListWatcher(InetSocketAddress address, ListUpdate list, boolean onDemand, Checks checks, long seed) {
         this.address = address;
         this.revision = list.revision();
         this.onDemand = onDemand;
-        this.checkInterval = checkInterval;
+        this.checks = checks;
         this.random = new SplittableRandom(seed);
         this.lastResyncAt = Long.MIN_VALUE / 2;
         list.members().forEach(this::updateKnown);
@@ -385,7 +388,7 @@
         nextWatchAt = NEVER;
         if (watch == null) {
             watch = openCall(resyncing ? Purpose.FULL_LIST : Purpose.WATCH, now);
-            nextCheckAt = checkInterval.nanos() == 0 || onDemand ? NEVER : Math.min(nextCheckAt, now + checkInterval.nanos());
+            nextCheckAt = checks.intervalNs() == 0 || onDemand ? NEVER : Math.min(nextCheckAt, now + checks.intervalNs());
         }
     }
 
@@ -397,7 +400,7 @@
     }
 
     private void openCheck(long now) {
-        nextCheckAt = now + checkInterval.nanos();
+        nextCheckAt = now + checks.intervalNs();
         checksSinceFullList++;
         if (resyncing) {
             return; // the full list is already requested, or will be soon
--- a/router/src/test/java/ledgewall/discovery/MemberListWatcherTest.java
+++ b/router/src/test/java/ledgewall/discovery/MemberListWatcherTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import ledgewall.discovery.MemberListWatcher.CheckInterval;
+import ledgewall.discovery.MemberListWatcher.Checks;
 import ledgewall.discovery.MemberListWatcher.Purpose;
 import ledgewall.discovery.Member.Phase;
 import org.junit.jupiter.api.Test;
@@ -109,12 +109,12 @@
         return new Member(id, "127.0.0.1:9", "south", "small", 2, phase, 1, false, 0);
     }
 
-    private void startWatcher(CheckInterval checkInterval, boolean onDemand) {
+    private void startWatcher(Checks checks, boolean onDemand) {
         discovery.members.put("a", member("a", Phase.READY));
         discovery.members.put("b", member("b", Phase.READY));
         discoveries.put(FIRST_ADDRESS, discovery);
         discoveries.put(SECOND_ADDRESS, discovery);
-        watcher = new MemberListWatcher(FIRST_ADDRESS, discovery.fullList(), onDemand, checkInterval, SEED);
+        watcher = new MemberListWatcher(FIRST_ADDRESS, discovery.fullList(), onDemand, checks, SEED);
         knownPhases.put("a", Phase.READY);
         knownPhases.put("b", Phase.READY);
         carryOut(watcher.start(now));
@@ -211,7 +211,7 @@
 
     @Test
     void workingWatchDeliversAtOnceAndChecksRepeatNothing() {
-        startWatcher(CheckInterval.DEFAULT, false);
+        startWatcher(Checks.DEFAULT, false);
         run(1_500 * NANOS_PER_MILLI);
         assertDrainAppliedWithin("a", 0);
         run(20_000 * NANOS_PER_MILLI);
@@ -222,7 +222,7 @@
     @Test
     void checksAnsweredWithTheFullListRepeatNothing() {
         discovery.alwaysSendsFullList = true;
-        startWatcher(CheckInterval.DEFAULT, false);
+        startWatcher(Checks.DEFAULT, false);
         run(1_500 * NANOS_PER_MILLI);
         assertDrainAppliedWithin("a", 0);
         int before = appliedUpdates.size();
@@ -233,7 +233,7 @@
     @Test
     void lostConnectIsRetriedAfterOneSecond() {
         newConnectionsAreLost = true;
-        startWatcher(CheckInterval.DISABLED, false);
+        startWatcher(Checks.DISABLED, false);
         run(500 * NANOS_PER_MILLI);
         newConnectionsAreLost = false;
         assertDrainAppliedWithin("a", 700 * NANOS_PER_MILLI);
@@ -242,7 +242,7 @@
     @Test
     void refusedConnectIsRetriedWithBackoffUpToHalfASecond() {
         behaviors.put(FIRST_ADDRESS, Behavior.REFUSES);
-        startWatcher(CheckInterval.DEFAULT, false);
+        startWatcher(Checks.DEFAULT, false);
         run(30_000 * NANOS_PER_MILLI);
         behaviors.put(FIRST_ADDRESS, Behavior.NORMAL);
         assertDrainAppliedWithin("a", 500 * NANOS_PER_MILLI);
@@ -250,7 +250,7 @@
 
     @Test
     void changeMissedBySilentlyLostWatchIsFoundByTheNextCheck() {
-        startWatcher(CheckInterval.DEFAULT, false);
+        startWatcher(Checks.DEFAULT, false);
         run(1_500 * NANOS_PER_MILLI);
         connections.values().forEach(connection -> connection.lost = true);
         assertDrainAppliedWithin("a", 1_000 * NANOS_PER_MILLI);
@@ -260,7 +260,7 @@
 
     @Test
     void withoutChecksSilentWatchIsReplacedAfterThreeSeconds() {
-        startWatcher(CheckInterval.DISABLED, false);
+        startWatcher(Checks.DISABLED, false);
         run(1_500 * NANOS_PER_MILLI);
         connections.values().forEach(connection -> connection.lost = true);
         assertDrainAppliedWithin("a", 3_200 * NANOS_PER_MILLI);
@@ -268,7 +268,7 @@
 
     @Test
     void watchWithHeartbeatsButNoChangesIsReplacedAfterTheNextCheck() {
-        startWatcher(CheckInterval.DEFAULT, false);
+        startWatcher(Checks.DEFAULT, false);
         run(1_500 * NANOS_PER_MILLI);
         MemberListWatcher.Call stuck = connections.keySet().stream().filter(c -> c.purpose() == Purpose.WATCH).findFirst()
             .orElseThrow();
@@ -281,7 +281,7 @@
 
     @Test
     void withoutChecksAWatchWithHeartbeatsButNoChangesHidesTheChangeForever() {
-        startWatcher(CheckInterval.DISABLED, false);
+        startWatcher(Checks.DISABLED, false);
         run(1_500 * NANOS_PER_MILLI);
         behaviors.put(FIRST_ADDRESS, Behavior.NO_CHANGES);
         discovery.set("a", Phase.TERMINATING);
@@ -291,7 +291,7 @@
 
     @Test
     void partialLineDelaysAChangeNoLongerThanOneCheck() {
-        startWatcher(CheckInterval.DEFAULT, false);
+        startWatcher(Checks.DEFAULT, false);
         run(1_500 * NANOS_PER_MILLI);
         behaviors.put(FIRST_ADDRESS, Behavior.PARTIAL_LINE);
         assertDrainAppliedWithin("a", 1_000 * NANOS_PER_MILLI);
@@ -302,7 +302,7 @@
 
     @Test
     void lineThatTricklesWithoutEndIsCancelledAfterFourSeconds() {
-        startWatcher(CheckInterval.DISABLED, false);
+        startWatcher(Checks.DISABLED, false);
         run(1_500 * NANOS_PER_MILLI);
         Connection watch = connections.values().iterator().next();
         watch.lost = true;
@@ -318,7 +318,7 @@
 
     @Test
     void addressChangeKeepsThePreviousWatchUntilTheNewOneDelivers() {
-        startWatcher(CheckInterval.DEFAULT, false);
+        startWatcher(Checks.DEFAULT, false);
         run(1_500 * NANOS_PER_MILLI);
         behaviors.put(SECOND_ADDRESS, Behavior.SILENT);
         carryOut(watcher.changeAddress(SECOND_ADDRESS, now));
@@ -334,7 +334,7 @@
 
     @Test
     void addressChangeToASilentServerClosesThePreviousWatchAfterFiveSeconds() {
-        startWatcher(CheckInterval.DEFAULT, false);
+        startWatcher(Checks.DEFAULT, false);
         run(1_500 * NANOS_PER_MILLI);
         behaviors.put(SECOND_ADDRESS, Behavior.SILENT);
         carryOut(watcher.changeAddress(SECOND_ADDRESS, now));
@@ -345,7 +345,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void fullListIsRequestedAfterDiscoveryRestarts(boolean alwaysSendsFullList) {
-        startWatcher(CheckInterval.DEFAULT, false);
+        startWatcher(Checks.DEFAULT, false);
         run(1_500 * NANOS_PER_MILLI);
         discovery.set("c", Phase.READY);
         run(500 * NANOS_PER_MILLI);
@@ -362,7 +362,7 @@
 
     @Test
     void requestsAreLimitedWhileTheRevisionGoesBackRepeatedly() {
-        startWatcher(CheckInterval.DEFAULT, false);
+        startWatcher(Checks.DEFAULT, false);
         run(100 * NANOS_PER_MILLI);
         int opened = 0;
         long end = now + 10_000 * NANOS_PER_MILLI;
@@ -377,7 +377,7 @@
 
     @Test
     void differentListWithTheSameRevisionIsFoundByTheFullList() {
-        startWatcher(CheckInterval.DEFAULT, false);
+        startWatcher(Checks.DEFAULT, false);
         run(1_500 * NANOS_PER_MILLI);
         discovery.members.put("a", member("a", Phase.TERMINATING));
         discovery.members.remove("b");
@@ -387,7 +387,7 @@
 
     @Test
     void onDemandListIsRequestedOnlyForThePolicy() {
-        startWatcher(CheckInterval.DEFAULT, true);
+        startWatcher(Checks.DEFAULT, true);
         run(10_000 * NANOS_PER_MILLI);
         assertEquals(0, maxOpenConnections);
         behaviors.put(FIRST_ADDRESS, Behavior.REFUSES);
@@ -408,7 +408,7 @@
     void listIsKnownAgainFiveSecondsAfterAnyFaults() {
         for (int seed = 1; seed <= 300; seed++) {
             MemberListWatcherTest simulation = new MemberListWatcherTest();
-            simulation.startWatcher(CheckInterval.DEFAULT, false);
+            simulation.startWatcher(Checks.DEFAULT, false);
             SplittableRandom random = new SplittableRandom(seed);
             for (int fault = 0; fault < 40; fault++) {
                 simulation.injectFault(random);
@@ -461,7 +461,7 @@
             list.add(member("m" + i, Phase.READY));
         }
         MemberListWatcher watcher = new MemberListWatcher(FIRST_ADDRESS, new ListUpdate(41, true, list), false,
-            CheckInterval.DEFAULT, seed);
+            Checks.DEFAULT, seed);
         watcher.start(0);
         return watcher;
     }
@@ -492,7 +492,7 @@
     @ValueSource(ints = {100, 64 * 1024})
     void slowLargeListIsAwaitedButATrickleIsCancelled(int bytesPerHalfSecond) {
         MemberListWatcher watcher = new MemberListWatcher(FIRST_ADDRESS, new ListUpdate(41, true, List.of()), false,
-            CheckInterval.DISABLED, SEED);
+            Checks.DISABLED, SEED);
         MemberListWatcher.Call watch = ((MemberListWatcher.Open) watcher.start(0).get(0)).call();
         boolean closed = false;
         for (long now = 0; now < 10_000 * NANOS_PER_MILLI; now += 500 * NANOS_PER_MILLI) {
