--- a/router/src/main/java/ledgewall/discovery/HttpResponseParser.java
+++ b/router/src/main/java/ledgewall/discovery/HttpResponseParser.java
@@ -36,7 +36,7 @@
         this.sink = sink;
     }
 
-    /** Parses all bytes of {@code in}. After an exception the parser must not be used any more. */
+    /** Parses the bytes of {@code in} up to the end of the response. After an exception the parser must not be used any more. */
     public void feed(ByteBuffer in) throws HttpException {
         while (in.hasRemaining() && state != State.DONE) {
             if (state == State.CHUNK || state == State.BODY) {
--- a/router/src/main/java/ledgewall/discovery/Member.java
+++ b/router/src/main/java/ledgewall/discovery/Member.java
@@ -4,7 +4,7 @@
  * An entry of the member list, with the field names of the discovery API.
  *
  * @param id identifier of the member, the same for every router
- * @param address host and port at which this router reaches the member; empty in an entry that is gone
+ * @param address host and port at which this router reaches the member; may be empty in an entry that is gone
  * @param locality name of the member's zone
  * @param flavor name of the kind of machine
  * @param cell number of the group that the member belongs to
--- a/router/src/test/java/ledgewall/discovery/MemberListWatcherTest.java
+++ b/router/src/test/java/ledgewall/discovery/MemberListWatcherTest.java
@@ -37,13 +37,13 @@
     /** The list as discovery holds it, with the revision at which each entry last changed. */
     private static final class Discovery {
         private final Map<String, Member> members = new LinkedHashMap<>();
-        private final Map<String, Long> changedAt = new HashMap<>();
+        private final Map<String, Long> changeRevisions = new HashMap<>();
         private long revision = 41;
         private boolean alwaysSendsFullList;
 
         void set(String id, Phase phase) {
             members.put(id, member(id, phase));
-            changedAt.put(id, ++revision);
+            changeRevisions.put(id, ++revision);
         }
 
         ListUpdate changesSince(long knownRevision) {
@@ -51,7 +51,7 @@
                 return fullList();
             }
             return new ListUpdate(revision, false, members.values().stream()
-                .filter(m -> changedAt.getOrDefault(m.id(), 0L) > knownRevision).toList());
+                .filter(m -> changeRevisions.getOrDefault(m.id(), 0L) > knownRevision).toList());
         }
 
         ListUpdate fullList() {
@@ -438,7 +438,7 @@
             default -> {
                 if (random.nextInt(4) == 0) {
                     discovery.revision = random.nextInt((int) discovery.revision) + 1;
-                    discovery.changedAt.replaceAll((id, changedAt) -> Math.min(changedAt, discovery.revision));
+                    discovery.changeRevisions.replaceAll((id, changed) -> Math.min(changed, discovery.revision));
                     connections.values().forEach(connection -> connection.sentRevision = Long.MAX_VALUE);
                 }
             }
