--- a/router/src/main/java/ledgewall/discovery/HttpResponseParser.java
+++ b/router/src/main/java/ledgewall/discovery/HttpResponseParser.java
@@ -19,9 +19,9 @@
 
     private enum State { STATUS, HEADERS, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, BODY, DONE }
 
-    /** Receives the body in order, in pieces of any size. */
+    /** Receives the response body in order, in pieces of any size. */
     public interface BodySink {
-        void accept(byte[] bytes, int offset, int length) throws HttpException;
+        void body(byte[] bytes, int offset, int length) throws HttpException;
     }
 
     private final BodySink sink;
@@ -149,7 +149,7 @@
         int count = remainingBytes == UNTIL_CLOSE ? in.remaining() : (int) Math.min(remainingBytes, in.remaining());
         byte[] piece = new byte[count];
         in.get(piece);
-        sink.accept(piece, 0, count);
+        sink.body(piece, 0, count);
         if (remainingBytes == UNTIL_CLOSE) {
             return;
         }
--- a/router/src/main/java/ledgewall/discovery/ListParser.java
+++ b/router/src/main/java/ledgewall/discovery/ListParser.java
@@ -19,8 +19,8 @@
      */
     public static ListUpdate parse(byte[] json) {
         ListStreamParser parser = new ListStreamParser();
-        parser.accept(json, 0, json.length);
-        parser.accept(TERMINATOR, 0, TERMINATOR.length);
+        parser.body(json, 0, json.length);
+        parser.body(TERMINATOR, 0, TERMINATOR.length);
         List<ListUpdate> updates = parser.takeUpdates();
         if (updates.size() != 1 || parser.isPartial()) {
             throw new FormatException("discovery: not a single JSON object");
--- a/router/src/main/java/ledgewall/discovery/ListStreamParser.java
+++ b/router/src/main/java/ledgewall/discovery/ListStreamParser.java
@@ -68,7 +68,7 @@
      * @throws FormatException if the input is not a list; the parser must not be used after that
      */
     @Override
-    public void accept(byte[] piece, int offset, int length) {
+    public void body(byte[] piece, int offset, int length) {
         try {
             feeder.feedInput(piece, offset, offset + length);
             for (JsonToken token = parser.nextToken(); token != JsonToken.NOT_AVAILABLE && token != null;
--- a/router/src/test/java/ledgewall/discovery/LineSplitter.java
+++ b/router/src/test/java/ledgewall/discovery/LineSplitter.java
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public void accept(byte[] bytes, int offset, int length) throws HttpException {
+    public void body(byte[] bytes, int offset, int length) throws HttpException {
         for (int i = offset; i < offset + length; i++) {
             if (bytes[i] == '\n') {
                 flush();
--- a/router/src/test/java/ledgewall/discovery/ListStreamParserTest.java
+++ b/router/src/test/java/ledgewall/discovery/ListStreamParserTest.java
@@ -26,7 +26,7 @@
         byte[] bytes = TWO_UPDATES.getBytes(StandardCharsets.UTF_8);
         List<ListUpdate> updates = new ArrayList<>();
         for (int offset = 0; offset < bytes.length; offset += pieceLength) {
-            parser.accept(bytes, offset, Math.min(pieceLength, bytes.length - offset));
+            parser.body(bytes, offset, Math.min(pieceLength, bytes.length - offset));
             updates.addAll(parser.takeUpdates());
         }
         assertEquals(List.of(7L, 8L), updates.stream().map(ListUpdate::revision).toList());
@@ -38,10 +38,10 @@
     void updateIsPartialUntilItsLastByte() {
         ListStreamParser parser = new ListStreamParser();
         byte[] bytes = "{\"revision\":8,\"members\":[]}".getBytes(StandardCharsets.UTF_8);
-        parser.accept(bytes, 0, bytes.length - 1);
+        parser.body(bytes, 0, bytes.length - 1);
         assertTrue(parser.isPartial());
         assertEquals(List.of(), parser.takeUpdates());
-        parser.accept(bytes, bytes.length - 1, 1);
+        parser.body(bytes, bytes.length - 1, 1);
         assertEquals(1, parser.takeUpdates().size());
     }
 
@@ -49,11 +49,11 @@
     void listWithoutEndIsRejectedAtTheSizeLimit() {
         ListStreamParser parser = new ListStreamParser();
         byte[] beginning = "{\"revision\":1,\"members\":[".getBytes(StandardCharsets.UTF_8);
-        parser.accept(beginning, 0, beginning.length);
+        parser.body(beginning, 0, beginning.length);
         byte[] spaces = " ".repeat(1 << 20).getBytes(StandardCharsets.UTF_8);
         assertThrows(FormatException.class, () -> {
             for (int i = 0; i < 5; i++) {
-                parser.accept(spaces, 0, spaces.length);
+                parser.body(spaces, 0, spaces.length);
             }
         });
     }
