--- a/router/src/main/java/ledgewall/net/Discovery.java
+++ b/router/src/main/java/ledgewall/net/Discovery.java
@@ -11,8 +11,8 @@
 import ledgewall.RoutingPolicy.ListKind;
 import ledgewall.discovery.MemberListWatcher;
 import ledgewall.discovery.HttpException;
-import ledgewall.discovery.HttpReader;
-import ledgewall.discovery.ListReader;
+import ledgewall.discovery.HttpResponseParser;
+import ledgewall.discovery.ListStreamParser;
 import ledgewall.discovery.ListUpdate;
 import ledgewall.settings.FormatException;
 import org.apache.mina.core.future.ConnectFuture;
@@ -36,7 +36,7 @@
     private long timerDue = Long.MAX_VALUE;
     private InetSocketAddress address;
 
-    Discovery(Wiring wiring, RouterConfig config, Members members, MemberListWatcher.Pace pace) {
+    Discovery(Wiring wiring, RouterConfig config, Members members, MemberListWatcher.Checks pace) {
         this.wiring = wiring;
         this.members = members;
         this.address = config.discovery();
@@ -64,7 +64,7 @@
         if (!other.equals(address)) {
             LOG.info("discovery is at {} from now on", other);
             address = other;
-            carryOut(follower.move(other, now()));
+            carryOut(follower.changeAddress(other, now()));
         }
     }
 
@@ -80,9 +80,9 @@
                 connection.open();
             } else if (step instanceof MemberListWatcher.Close close) {
                 connections.remove(close.call()).close();
-            } else if (step instanceof MemberListWatcher.Learn learn) {
-                learn(learn.update(), learn.from());
-            } else if (step instanceof MemberListWatcher.Failed) {
+            } else if (step instanceof MemberListWatcher.Apply learn) {
+                learn(learn.update(), learn.call());
+            } else if (step instanceof MemberListWatcher.FetchFailed) {
                 wiring.loop().tell(new RoutingPolicy.MemberList(ListKind.FAILED, List.of()));
             }
         }
@@ -91,7 +91,7 @@
 
     private void learn(ListUpdate update, MemberListWatcher.Call from) {
         wiring.counters().add(Counters.Count.LISTS);
-        if (from.purpose() == MemberListWatcher.Purpose.CHECK || from.purpose() == MemberListWatcher.Purpose.WHOLE) {
+        if (from.purpose() == MemberListWatcher.Purpose.CHECK || from.purpose() == MemberListWatcher.Purpose.FULL_LIST) {
             wiring.counters().add(Counters.Count.LISTS_BY_CHECK);
             LOG.info("revision {} came by a check before the watch told of it", update.revision());
         }
@@ -100,7 +100,7 @@
     }
 
     private void setTimer() {
-        long due = follower.due();
+        long due = follower.nextTickAt();
         if (due == timerDue) {
             return;
         }
@@ -117,8 +117,8 @@
     /** The connection that one call has to itself. */
     private final class Connection implements Endpoint {
         private final MemberListWatcher.Call call;
-        private final ListReader list = new ListReader();
-        private final HttpReader http = new HttpReader(list);
+        private final ListStreamParser list = new ListStreamParser();
+        private final HttpResponseParser http = new HttpResponseParser(list);
         private ConnectFuture connecting;
         private IoSession session;
         private boolean over;
@@ -155,13 +155,13 @@
         public Runnable receive(ByteBuffer bytes, long at, IoSession from) {
             int size = bytes.remaining();
             wiring.counters().add(Counters.Count.LIST_BYTES, size);
-            boolean bad = !read(bytes) || http.done() && list.isPartial();
+            boolean bad = !read(bytes) || http.isComplete() && list.isPartial();
             List<ListUpdate> updates = new ArrayList<>();
-            bad |= !check(list.take(), updates);
+            bad |= !check(list.takeUpdates(), updates);
             boolean whole = !updates.isEmpty();
-            boolean owed = !http.headDone() || list.isPartial();
+            boolean owed = !http.headersComplete() || list.isPartial();
             boolean broken = bad;
-            boolean last = bad || http.done();
+            boolean last = bad || http.isComplete();
             return () -> take(updates, whole, owed, size, broken, last);
         }
 
@@ -194,9 +194,9 @@
             if (over) {
                 return;
             }
-            carryOut(follower.heard(call, whole, owed, size, now()));
+            carryOut(follower.onBytes(call, whole, owed, size, now()));
             for (ListUpdate update : updates) {
-                carryOut(follower.told(call, update, now()));
+                carryOut(follower.onUpdate(call, update, now()));
             }
             if (bad) {
                 wiring.counters().add(Counters.Count.BAD_LISTS);
@@ -213,7 +213,7 @@
 
         private void lost() {
             if (!over) {
-                carryOut(follower.ended(call, now()));
+                carryOut(follower.onClosed(call, now()));
             }
         }
 
--- a/router/src/main/java/ledgewall/net/Router.java
+++ b/router/src/main/java/ledgewall/net/Router.java
@@ -39,7 +39,7 @@
     private final CountDownLatch closed = new CountDownLatch(1);
     private boolean draining;
 
-    private Router(RouterConfig config, RoutingPolicy.Factory factory, MemberListWatcher.Pace pace, Classifier classifier) {
+    private Router(RouterConfig config, RoutingPolicy.Factory factory, MemberListWatcher.Checks pace, Classifier classifier) {
         this.config = config;
         Descriptors descriptors = new Descriptors(config.sockets());
         this.transport = new Transport(clock, loop, counters, descriptors.forAccepting());
@@ -57,15 +57,15 @@
 
     /** Starts a router and returns once it listens. */
     public static Router start(RouterConfig config, RoutingPolicy.Factory factory) throws IOException {
-        return start(config, factory, MemberListWatcher.Pace.USUAL, null);
+        return start(config, factory, MemberListWatcher.Checks.DEFAULT, null);
     }
 
     /** Starts a router that also takes statements without the comment, as what the classifier says that they are. */
     public static Router start(RouterConfig config, RoutingPolicy.Factory factory, Classifier classifier) throws IOException {
-        return start(config, factory, MemberListWatcher.Pace.USUAL, classifier);
+        return start(config, factory, MemberListWatcher.Checks.DEFAULT, classifier);
     }
 
-    static Router start(RouterConfig config, RoutingPolicy.Factory factory, MemberListWatcher.Pace pace, Classifier classifier)
+    static Router start(RouterConfig config, RoutingPolicy.Factory factory, MemberListWatcher.Checks pace, Classifier classifier)
             throws IOException {
         Router router = new Router(config, factory, pace, classifier);
         try {
--- a/router/src/main/java/ledgewall/net/RouterConfig.java
+++ b/router/src/main/java/ledgewall/net/RouterConfig.java
@@ -48,7 +48,7 @@
             throw new FormatException(fields.where() + ": lacks 'settings'");
         }
         Fields settings = fields.object("settings");
-        ListUpdate known = fields.has("known") ? ListParser.read(fields.object("known"))
+        ListUpdate known = fields.has("known") ? ListParser.fromFields(fields.object("known"))
             : new ListUpdate(0, true, List.of());
         List<InetSocketAddress> peers = fields.elements("peers").stream()
             .map(peer -> address(fields.where(), "peers", peer.toString())).toList();
--- a/router/src/test/java/ledgewall/net/RouterHarness.java
+++ b/router/src/test/java/ledgewall/net/RouterHarness.java
@@ -28,7 +28,7 @@
     private String listen = "127.0.0.1:0";
     private boolean parallel = true;
     /** A script tells calls apart by their order, so only tests of checks have them. */
-    private MemberListWatcher.Pace pace = MemberListWatcher.Pace.UNCHECKED;
+    private MemberListWatcher.Checks pace = MemberListWatcher.Checks.DISABLED;
     private Classifier classifier;
     private Router router;
 
@@ -83,7 +83,7 @@
     }
 
     RouterHarness checked() {
-        pace = MemberListWatcher.Pace.USUAL;
+        pace = MemberListWatcher.Checks.DEFAULT;
         return this;
     }
 
