--- a/router/src/main/java/ledgewall/net/BackpressureAcceptor.java
+++ b/router/src/main/java/ledgewall/net/BackpressureAcceptor.java
@@ -11,28 +11,32 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * MINA's acceptor, which leaves connections in the kernel's queue while the process has no descriptor to spare. MINA
- * accepts until that fails and then sleeps for a second, so that hundreds of connects at once would cost the router
- * its probes and the others their place.
+ * An acceptor that leaves connections in the kernel's accept queue while the process has no descriptor to spare. MINA's
+ * own acceptor accepts until that fails and then sleeps for a second: hundreds of simultaneous connects would leave the
+ * router no descriptors for its probes and would delay all other clients.
  */
 final class BackpressureAcceptor extends NioSocketAcceptor {
-    private static final long PAUSE = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long RETRY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private final BooleanSupplier mayAccept;
-    private final LongConsumer resumed;
-    private final Runnable waiting;
+    private final LongConsumer onResumed;
+    private final Runnable onBlocked;
     private boolean paused;
-    private long pausedAt;
+    private long pausedAtNanos;
 
     /**
-     * Runs {@code waiting} each time that a client has to wait, and tells {@code resumed} after each pause how long it was,
-     * in nanoseconds; both on the acceptor's thread.
+     * Creates an acceptor whose callbacks run on its own thread.
+     *
+     * @param mayAccept whether another connection may be accepted now
+     * @param onBlocked runs each time that a client has to wait
+     * @param onResumed receives the length of each pause in nanoseconds, once it is over
      */
-    BackpressureAcceptor(IoProcessor<NioSession> processor, BooleanSupplier mayAccept, Runnable waiting, LongConsumer resumed) {
+    BackpressureAcceptor(IoProcessor<NioSession> processor, BooleanSupplier mayAccept, Runnable onBlocked,
+                         LongConsumer onResumed) {
         super(processor);
         this.mayAccept = mayAccept;
-        this.resumed = resumed;
-        this.waiting = waiting;
+        this.onResumed = onResumed;
+        this.onBlocked = onBlocked;
     }
 
     @Override
@@ -43,26 +47,26 @@
                 resume();
                 return session;
             } catch (IOException e) {
-                // out of descriptors all the same: as below
+                // out of descriptors nevertheless: pause as well
             }
         }
         pause();
-        waiting.run();
-        LockSupport.parkNanos(PAUSE);
+        onBlocked.run();
+        LockSupport.parkNanos(RETRY_INTERVAL_NANOS);
         return null;
     }
 
     private void pause() {
         if (!paused) {
             paused = true;
-            pausedAt = System.nanoTime();
+            pausedAtNanos = System.nanoTime();
         }
     }
 
     private void resume() {
         if (paused) {
             paused = false;
-            resumed.accept(System.nanoTime() - pausedAt);
+            onResumed.accept(System.nanoTime() - pausedAtNanos);
         }
     }
 }
--- a/router/src/main/java/ledgewall/net/Discovery.java
+++ b/router/src/main/java/ledgewall/net/Discovery.java
@@ -21,58 +21,58 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the list: carries out what {@link MemberListWatcher} decides, and tells it what came. Silence is never an empty list:
- * what is known stays.
+ * Follows the list of members: executes the steps that {@link MemberListWatcher} decides on and passes it what discovery
+ * sends. A discovery service that does not answer is never taken for an empty list: the known members stay.
  */
 final class Discovery {
     private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
 
-    private final Wiring wiring;
+    private final Wiring context;
     private final Members members;
-    private final MemberListWatcher follower;
-    /** Connections of the follower's open calls; each leaves when the follower says so. */
+    private final MemberListWatcher watcher;
+    /** The connections of the watcher's open calls; each is removed when the watcher closes its call. */
     private final Map<MemberListWatcher.Call, Connection> connections = new HashMap<>();
     private EventLoop.Timer timer;
-    private long timerDue = Long.MAX_VALUE;
+    private long timerDueAt = Long.MAX_VALUE;
     private InetSocketAddress address;
 
-    Discovery(Wiring wiring, RouterConfig config, Members members, MemberListWatcher.Pace pace) {
-        this.wiring = wiring;
+    Discovery(Wiring context, RouterConfig config, Members members, MemberListWatcher.Pace pace) {
+        this.context = context;
         this.members = members;
         this.address = config.discovery();
-        this.follower = new MemberListWatcher(address, config.known(), config.settings().askForList(), pace,
+        this.watcher = new MemberListWatcher(address, config.knownList(), config.settings().askForList(), pace,
             config.seed());
     }
 
-    /** Begins to follow unasked, where that is discovery's way. */
+    /** Starts to follow the list, if the settings let discovery push changes. */
     void start() {
-        carryOut(follower.start(now()));
+        execute(watcher.start(now()));
     }
 
-    /** Begins the watch, if there is none. */
+    /** Opens a watch unless there is one. */
     void subscribe() {
-        carryOut(follower.subscribe(now()));
+        execute(watcher.subscribe(now()));
     }
 
-    /** Asks for the whole list once. */
+    /** Requests the complete list once. */
     void fetch() {
-        carryOut(follower.fetch(now()));
+        execute(watcher.fetch(now()));
     }
 
-    /** Follows discovery at another address, from the revision known. */
-    void moveTo(InetSocketAddress other) {
-        if (!other.equals(address)) {
-            LOG.info("discovery is at {} from now on", other);
-            address = other;
-            carryOut(follower.move(other, now()));
+    /** Continues with discovery at another address, from the known revision. */
+    void changeAddress(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            LOG.info("discovery is at {} from now on", newAddress);
+            address = newAddress;
+            execute(watcher.move(newAddress, now()));
         }
     }
 
     private long now() {
-        return wiring.loop().now();
+        return context.loop().now();
     }
 
-    private void carryOut(List<MemberListWatcher.Step> steps) {
+    private void execute(List<MemberListWatcher.Step> steps) {
         for (MemberListWatcher.Step step : steps) {
             if (step instanceof MemberListWatcher.Open open) {
                 Connection connection = new Connection(open.call());
@@ -81,107 +81,107 @@
             } else if (step instanceof MemberListWatcher.Close close) {
                 connections.remove(close.call()).close();
             } else if (step instanceof MemberListWatcher.Learn learn) {
-                learn(learn.update(), learn.from());
+                applyList(learn.update(), learn.from());
             } else if (step instanceof MemberListWatcher.Failed) {
-                wiring.loop().tell(new RoutingPolicy.MemberList(ListKind.FAILED, List.of()));
+                context.loop().tell(new RoutingPolicy.MemberList(ListKind.FAILED, List.of()));
             }
         }
-        setTimer();
+        rescheduleTimer();
     }
 
-    private void learn(ListUpdate update, MemberListWatcher.Call from) {
-        wiring.counters().add(Counters.Count.LISTS);
+    private void applyList(ListUpdate update, MemberListWatcher.Call from) {
+        context.counters().add(Counters.Count.LISTS);
         if (from.purpose() == MemberListWatcher.Purpose.CHECK || from.purpose() == MemberListWatcher.Purpose.WHOLE) {
-            wiring.counters().add(Counters.Count.LISTS_BY_CHECK);
-            LOG.info("revision {} came by a check before the watch told of it", update.revision());
+            context.counters().add(Counters.Count.LISTS_BY_CHECK);
+            LOG.info("revision {} was found by a check before the watch reported it", update.revision());
         }
         LOG.debug("list {} from {} for {}", update.revision(), from.target(), from.purpose());
-        members.learn(update, update.complete() ? ListKind.FULL : ListKind.CHANGES);
+        members.applyList(update, update.complete() ? ListKind.FULL : ListKind.CHANGES);
     }
 
-    private void setTimer() {
-        long due = follower.due();
-        if (due == timerDue) {
+    private void rescheduleTimer() {
+        long due = watcher.due();
+        if (due == timerDueAt) {
             return;
         }
         if (timer != null) {
             timer.cancel();
         }
-        timerDue = due;
-        timer = due == Long.MAX_VALUE ? null : wiring.loop().at(due, () -> {
-            timerDue = Long.MAX_VALUE;
-            carryOut(follower.tick(now()));
+        timerDueAt = due;
+        timer = due == Long.MAX_VALUE ? null : context.loop().at(due, () -> {
+            timerDueAt = Long.MAX_VALUE;
+            execute(watcher.tick(now()));
         });
     }
 
-    /** The connection that one call has to itself. */
+    /** The connection of one call to discovery. */
     private final class Connection implements Endpoint {
         private final MemberListWatcher.Call call;
-        private final ListReader list = new ListReader();
-        private final HttpReader http = new HttpReader(list);
-        private ConnectFuture connecting;
+        private final ListReader listReader = new ListReader();
+        private final HttpReader httpReader = new HttpReader(listReader);
+        private ConnectFuture connectFuture;
         private IoSession session;
-        private boolean over;
+        private boolean closed;
 
         private Connection(MemberListWatcher.Call call) {
             this.call = call;
         }
 
         private void open() {
-            wiring.descriptors().take();
-            wiring.counters().add(call.purpose() == MemberListWatcher.Purpose.WATCH
+            context.descriptors().acquire();
+            context.counters().add(call.purpose() == MemberListWatcher.Purpose.WATCH
                 ? Counters.Count.WATCHES : Counters.Count.LIST_CHECKS);
-            connecting = wiring.transport().connect(call.address(), this, this::lost);
+            connectFuture = context.transport().connect(call.address(), this, this::endCall);
         }
 
         @Override
         public void opened(IoSession opened) {
             session = opened;
-            if (over) {
+            if (closed) {
                 session.closeNow();
                 return;
             }
             String request = "GET " + call.target() + " HTTP/1.1\r\nHost: " + call.address().getHostString() + ":"
                 + call.address().getPort() + "\r\nAccept: application/json\r\n\r\n";
-            wiring.transport().write(session, request.getBytes(StandardCharsets.US_ASCII));
+            context.transport().write(session, request.getBytes(StandardCharsets.US_ASCII));
         }
 
         @Override
         public void written(int bytes) {
-            // only its answer matters
+            // only the answer matters
         }
 
         @Override
         public Runnable receive(ByteBuffer bytes, long at, IoSession from) {
-            int size = bytes.remaining();
-            wiring.counters().add(Counters.Count.LIST_BYTES, size);
-            boolean bad = !read(bytes) || http.done() && list.isPartial();
+            int byteCount = bytes.remaining();
+            context.counters().add(Counters.Count.LIST_BYTES, byteCount);
+            boolean invalid = !parse(bytes) || httpReader.done() && listReader.isPartial();
             List<ListUpdate> updates = new ArrayList<>();
-            bad |= !check(list.take(), updates);
-            boolean whole = !updates.isEmpty();
-            boolean owed = !http.headDone() || list.isPartial();
-            boolean broken = bad;
-            boolean last = bad || http.done();
-            return () -> take(updates, whole, owed, size, broken, last);
+            invalid |= !collectValid(listReader.take(), updates);
+            boolean hasUpdate = !updates.isEmpty();
+            boolean answerPending = !httpReader.headDone() || listReader.isPartial();
+            boolean malformed = invalid;
+            boolean callOver = invalid || httpReader.done();
+            return () -> deliver(updates, hasUpdate, answerPending, byteCount, malformed, callOver);
         }
 
-        /** Reads what has come; false if any of it is no list: nothing behind it is taken. */
-        private boolean read(ByteBuffer bytes) {
+        /** Parses received bytes; returns false if they are malformed, and nothing after the fault is parsed. */
+        private boolean parse(ByteBuffer bytes) {
             try {
-                http.feed(bytes);
+                httpReader.feed(bytes);
                 return true;
             } catch (HttpException | FormatException e) {
-                LOG.debug("discovery: {}", e.getMessage()); // counted: a bad one may be asked without end
+                LOG.debug("discovery: {}", e.getMessage()); // debug level and a counter: a faulty service may repeat it endlessly
                 return false;
             }
         }
 
-        /** Passes on the lists up to the first that cannot be taken in; false if there is one. */
-        private static boolean check(List<ListUpdate> all, List<ListUpdate> good) {
+        /** Copies the lists up to the first invalid one; returns false if there is one. */
+        private static boolean collectValid(List<ListUpdate> received, List<ListUpdate> valid) {
             try {
-                for (ListUpdate update : all) {
-                    Members.check(update);
-                    good.add(update);
+                for (ListUpdate update : received) {
+                    Members.validate(update);
+                    valid.add(update);
                 }
                 return true;
             } catch (FormatException e) {
@@ -190,41 +190,42 @@
             }
         }
 
-        private void take(List<ListUpdate> updates, boolean whole, boolean owed, int size, boolean bad, boolean last) {
-            if (over) {
+        private void deliver(List<ListUpdate> updates, boolean hasUpdate, boolean answerPending, int byteCount,
+                             boolean malformed, boolean callOver) {
+            if (closed) {
                 return;
             }
-            carryOut(follower.heard(call, whole, owed, size, now()));
+            execute(watcher.heard(call, hasUpdate, answerPending, byteCount, now()));
             for (ListUpdate update : updates) {
-                carryOut(follower.told(call, update, now()));
+                execute(watcher.told(call, update, now()));
             }
-            if (bad) {
-                wiring.counters().add(Counters.Count.BAD_LISTS);
+            if (malformed) {
+                context.counters().add(Counters.Count.BAD_LISTS);
             }
-            if (last) {
-                lost();
+            if (callOver) {
+                endCall();
             }
         }
 
         @Override
-        public void ended(long at) {
-            lost();
+        public void disconnected(long at) {
+            endCall();
         }
 
-        private void lost() {
-            if (!over) {
-                carryOut(follower.ended(call, now()));
+        private void endCall() {
+            if (!closed) {
+                execute(watcher.ended(call, now()));
             }
         }
 
         private void close() {
-            if (!over) {
-                over = true;
-                wiring.descriptors().release();
+            if (!closed) {
+                closed = true;
+                context.descriptors().release();
                 if (session != null) {
                     session.closeNow();
                 } else {
-                    connecting.cancel(); // or as many would pend as the kernel's patience holds
+                    connectFuture.cancel(); // else pending connects would pile up until the kernel's connect timeout
                 }
             }
         }
--- a/router/src/main/java/ledgewall/net/DrainBeforeResetProcessor.java
+++ b/router/src/main/java/ledgewall/net/DrainBeforeResetProcessor.java
@@ -11,21 +11,21 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * MINA's processor, led in three places. It passes on what a connection said before it was reset: MINA reads on
- * until nothing is left, and a reset met there throws away what the same turn has read, so that an answer that
- * came whole would pass for a broken one. It suspends and resumes reading on its own thread and leaves interest in
- * writing alone: MINA changes both from the caller's thread, against its own, and forgets a write that is half
- * done, so that a client's answers could stop for good. And it can be asked to read what has come.
+ * An I/O processor that differs from MINA's in three ways. It delivers the data received before a reset: MINA reads a
+ * socket until nothing is left, and if a reset occurs there it discards what the same pass has read, so that a complete
+ * answer would be treated as a broken one. It suspends and resumes reads on its own thread and leaves write interest
+ * unchanged: MINA changes both from the caller's thread, in a race with its own, and loses a partial write, so that
+ * answers to a client could stop for good. And a caller can wait until all data received so far has been read.
  */
 final class DrainBeforeResetProcessor extends NioProcessor {
-    /** What was ready when the first pass began may have been picked before; the second has all. */
-    private static final int PASSES = 2;
-    /** Without connections there are no passes: nothing can have come. */
-    private static final long PATIENCE = TimeUnit.MILLISECONDS.toNanos(20);
-    private static final long LOOK = TimeUnit.MICROSECONDS.toNanos(100);
+    /** The first pass may have selected its sockets before the call; the second covers all of them. */
+    private static final int REQUIRED_PASSES = 2;
+    /** Bounds the wait: without connections there are no passes, and nothing to read. */
+    private static final long MAX_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final long POLL_INTERVAL_NANOS = TimeUnit.MICROSECONDS.toNanos(100);
 
-    private final Queue<NioSession> readChanges = new ConcurrentLinkedQueue<>();
-    private volatile long passes;
+    private final Queue<NioSession> readInterestChanges = new ConcurrentLinkedQueue<>();
+    private volatile long selectPasses;
 
     DrainBeforeResetProcessor(Executor executor) {
         super(executor);
@@ -39,32 +39,32 @@
             if (buffer.position() == 0) {
                 throw e;
             }
-            return 0; // the next turn meets the reset again, with nothing before it
+            return 0; // the next pass meets the reset again, without data before it
         }
     }
 
     @Override
     public void updateTrafficControl(NioSession session) {
-        readChanges.add(session);
+        readInterestChanges.add(session);
         wakeup();
     }
 
     @Override
     protected int select(long timeout) throws Exception {
-        passes = passes + 1; // this thread alone writes it
-        for (NioSession session = readChanges.poll(); session != null; session = readChanges.poll()) {
+        selectPasses = selectPasses + 1; // not atomic: only this thread writes it
+        for (NioSession session = readInterestChanges.poll(); session != null; session = readInterestChanges.poll()) {
             setInterestedInRead(session, !session.isReadSuspended());
         }
         return super.select(timeout);
     }
 
-    /** Waits until all that had come before this call has been read and queued. */
-    void catchUp() {
-        long until = passes + PASSES;
-        long end = System.nanoTime() + PATIENCE;
-        while (passes < until && System.nanoTime() < end) {
+    /** Waits until all data received before this call has been read and queued for the event loop. */
+    void awaitPendingReads() {
+        long targetPass = selectPasses + REQUIRED_PASSES;
+        long waitUntilNanos = System.nanoTime() + MAX_WAIT_NANOS;
+        while (selectPasses < targetPass && System.nanoTime() < waitUntilNanos) {
             wakeup();
-            LockSupport.parkNanos(LOOK);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 }
--- a/router/src/main/java/ledgewall/net/Endpoint.java
+++ b/router/src/main/java/ledgewall/net/Endpoint.java
@@ -3,17 +3,17 @@
 import java.nio.ByteBuffer;
 import org.apache.mina.core.session.IoSession;
 
-/** The router's end of one connection. */
+/** The router's end of one connection. Times are nanoseconds on the router's clock. */
 interface Endpoint {
-    /** On the I/O thread: takes in all the bytes and says what the loop is to do with what they hold. */
+    /** Called on the I/O thread: parses the received bytes and returns the task that handles them on the event loop. */
     Runnable receive(ByteBuffer bytes, long at, IoSession from);
 
-    /** On the loop: the connection is up. */
+    /** Called on the event loop: the connection is established. */
     void opened(IoSession session);
 
-    /** On the loop: so many bytes, one write's, have gone out to their last. */
+    /** Called on the event loop: one write, of this many bytes, has been written completely. */
     void written(int bytes);
 
-    /** On the loop: the other side has ended its sending, or the connection is no more; may come twice. */
-    void ended(long at);
+    /** Called on the event loop: the remote side has closed its output, or the connection is closed. May be called twice. */
+    void disconnected(long at);
 }
--- a/router/src/main/java/ledgewall/net/Exchange.java
+++ b/router/src/main/java/ledgewall/net/Exchange.java
@@ -2,22 +2,22 @@
 
 import ledgewall.pg.Reply;
 
-/** One query on a connection to a host, and what becomes of it. */
+/** One query on a connection to a host, with callbacks for its progress. Times are nanoseconds on the router's clock. */
 interface Exchange {
-    /** The whole message to write, asked for when it is about to be written. */
+    /** The encoded query message; requested just before it is written. */
     byte[] query();
 
-    /** The query is about to be written. */
-    void begun(long at);
+    /** Called when the query is about to be written. */
+    void started(long at);
 
-    /** The row has come whole; the end is still to come. */
+    /** Called when the row has been received completely; ReadyForQuery is still to come. */
     void served(Reply reply);
 
-    /** Whether it asks the host about itself, on no client's behalf. */
+    /** Whether this is the router's own probe of the host rather than a client's request. */
     default boolean isProbe() {
         return false;
     }
 
-    /** It is over; {@code reply} holds what has come of an answer. */
-    void ended(AttemptOutcome ending, Reply reply, long at);
+    /** Called once at the end; {@code reply} holds the part of the answer that was received. */
+    void ended(AttemptOutcome outcome, Reply reply, long at);
 }
--- a/router/src/main/java/ledgewall/net/HostConnection.java
+++ b/router/src/main/java/ledgewall/net/HostConnection.java
@@ -15,217 +15,220 @@
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.session.IoSession;
 
-/** A connection to a member's host. It carries one exchange at a time. */
+/** A connection from the router to a member. It carries one exchange at a time. */
 final class HostConnection implements Endpoint {
-    /** A row of the longest value, with its header. */
-    private static final int LONGEST_MESSAGE = Reply.LONGEST_VALUE + 1024;
-    private static final byte[] STARTUP = MessageWriter.startup("ledgewall", "ledgewall");
+    /** The largest value that a row may hold, and room for the row's header. */
+    private static final int MAX_MESSAGE_BYTES = Reply.LONGEST_VALUE + 1024;
+    private static final byte[] STARTUP_MESSAGE = MessageWriter.startup("ledgewall", "ledgewall");
 
-    private enum Stage { CONNECTING, GREETING, IDLE, BUSY, CLOSED }
+    private enum State { CONNECTING, STARTUP, IDLE, BUSY, CLOSED }
 
-    private final Wiring wiring;
-    private final FrameReader frames = FrameReader.ofHost(LONGEST_MESSAGE);
-    private final Greeting greeting = new Greeting();
-    private final Consumer<HostConnection> whenIdle;
-    private final Consumer<HostConnection> whenClosed;
-    private ConnectFuture connecting;
+    private final Wiring context;
+    private final FrameReader frameReader = FrameReader.ofHost(MAX_MESSAGE_BYTES);
+    private final Greeting startupReply = new Greeting();
+    private final Consumer<HostConnection> onIdle;
+    private final Consumer<HostConnection> onClosed;
+    private ConnectFuture connectFuture;
     private EventLoop.Timer connectTimer;
     private IoSession session;
-    private Stage stage = Stage.CONNECTING;
+    private State state = State.CONNECTING;
     private Exchange exchange;
     private Reply reply = new Reply();
-    private boolean written;
-    private boolean servedTold;
-    /** What the last probe on this connection was answered with, or null. */
-    private byte[] probeAnswer;
+    private boolean queryWritten;
+    private boolean servedNotified;
+    /** The answer to the last probe on this connection, or null. */
+    private byte[] lastProbeAnswer;
+    /** In nanoseconds on the event loop's clock. */
     private long idleSince;
     private boolean idleAfterProbe;
 
-    HostConnection(Wiring wiring, Consumer<HostConnection> whenIdle, Consumer<HostConnection> whenClosed) {
-        this.wiring = wiring;
-        this.whenIdle = whenIdle;
-        this.whenClosed = whenClosed;
+    HostConnection(Wiring context, Consumer<HostConnection> onIdle, Consumer<HostConnection> onClosed) {
+        this.context = context;
+        this.onIdle = onIdle;
+        this.onClosed = onClosed;
     }
 
-    /** Connects and greets; then carries out the exchange. */
+    /** Connects, performs the start-up handshake, then runs the exchange. */
     void connect(InetSocketAddress address, Exchange first) {
         exchange = first;
-        wiring.descriptors().take();
-        wiring.counters().add(Counters.Count.HOST_CONNECTIONS);
-        if (wiring.connectTimeout() > 0) {
-            connectTimer = wiring.loop().in(wiring.connectTimeout(), this::connectTimedOut);
+        context.descriptors().acquire();
+        context.counters().add(Counters.Count.HOST_CONNECTIONS);
+        if (context.connectTimeout() > 0) {
+            connectTimer = context.loop().in(context.connectTimeout(), this::connectTimedOut);
         }
-        connecting = wiring.transport().connect(address, this,
-            () -> fail(AttemptOutcome.CONNECT_REFUSED, wiring.loop().now()));
+        connectFuture = context.transport().connect(address, this,
+            () -> fail(AttemptOutcome.CONNECT_REFUSED, context.loop().now()));
     }
 
     private void connectTimedOut() {
-        if (stage == Stage.CONNECTING || stage == Stage.GREETING) {
-            fail(AttemptOutcome.CONNECT_TIMED_OUT, wiring.loop().now());
+        if (state == State.CONNECTING || state == State.STARTUP) {
+            fail(AttemptOutcome.CONNECT_TIMED_OUT, context.loop().now());
         }
     }
 
     @Override
     public void opened(IoSession opened) {
         session = opened;
-        if (stage == Stage.CLOSED) {
-            session.closeNow(); // given up while it came up
+        if (state == State.CLOSED) {
+            session.closeNow(); // closed by the router while connecting
             return;
         }
-        stage = Stage.GREETING;
-        wiring.transport().write(session, STARTUP);
+        state = State.STARTUP;
+        context.transport().write(session, STARTUP_MESSAGE);
     }
 
-    /** Carries out another exchange on this idle connection. */
+    /** Runs another exchange on this idle connection. */
     void start(Exchange next) {
         exchange = next;
-        begin();
+        sendQuery();
     }
 
-    private void begin() {
-        stage = Stage.BUSY;
+    private void sendQuery() {
+        state = State.BUSY;
         reply = new Reply();
-        written = false;
-        servedTold = false;
-        exchange.begun(wiring.clock().now());
-        wiring.transport().write(session, exchange.query());
+        queryWritten = false;
+        servedNotified = false;
+        exchange.started(context.clock().now());
+        context.transport().write(session, exchange.query());
     }
 
     @Override
     public void written(int bytes) {
-        written |= stage == Stage.BUSY;
+        queryWritten |= state == State.BUSY;
     }
 
     @Override
     public Runnable receive(ByteBuffer bytes, long at, IoSession from) {
         List<Frame> received = new ArrayList<>();
         try {
-            frames.feed(bytes, received::add);
+            frameReader.feed(bytes, received::add);
         } catch (ProtocolException e) {
             return () -> {
-                take(received, at);
-                garbled(at);
+                processFrames(received, at);
+                failOnProtocolError(at);
             };
         }
-        int rest = frames.held();
+        int bufferedBytes = frameReader.held();
         return () -> {
-            boolean unasked = stage == Stage.BUSY && !written; // it came before the request had gone out
-            if (!unasked) {
-                take(received, at);
+            boolean unsolicited = state == State.BUSY && !queryWritten; // received before the query was fully written
+            if (!unsolicited) {
+                processFrames(received, at);
             }
-            if (unasked || rest > 0 && stage == Stage.IDLE) {
-                garbled(at); // more than belongs to the answer before: what comes next could pass for another's
+            if (unsolicited || bufferedBytes > 0 && state == State.IDLE) {
+                // data beyond the previous answer: what follows could be mistaken for the answer to another request
+                failOnProtocolError(at);
             }
         };
     }
 
-    private void take(List<Frame> received, long at) {
+    private void processFrames(List<Frame> received, long at) {
         try {
             for (Frame frame : received) {
-                take(frame, at);
+                processFrame(frame, at);
             }
         } catch (ProtocolException e) {
-            garbled(at);
+            failOnProtocolError(at);
         }
     }
 
-    private void take(Frame frame, long at) throws ProtocolException {
-        switch (stage) {
-            case GREETING -> greet(frame, at);
-            case BUSY -> answer(frame, at);
+    private void processFrame(Frame frame, long at) throws ProtocolException {
+        switch (state) {
+            case STARTUP -> processStartup(frame, at);
+            case BUSY -> processReply(frame, at);
             case IDLE -> {
                 if (frame.type() != 'N' && frame.type() != 'S') {
-                    fail(AttemptOutcome.BROKEN_BEFORE_WRITTEN, at); // a farewell, or an answer to nothing
+                    // a message that ends the session, or an answer without a query
+                    fail(AttemptOutcome.BROKEN_BEFORE_WRITTEN, at);
                 }
             }
             default -> { }
         }
     }
 
-    private void greet(Frame frame, long at) throws ProtocolException {
-        greeting.accept(frame);
-        if (greeting.sqlState() != null) {
-            fail(AttemptOutcome.ofGreeting(greeting.sqlState()), at);
-        } else if (greeting.ready()) {
+    private void processStartup(Frame frame, long at) throws ProtocolException {
+        startupReply.accept(frame);
+        if (startupReply.sqlState() != null) {
+            fail(AttemptOutcome.ofGreeting(startupReply.sqlState()), at);
+        } else if (startupReply.ready()) {
             cancelConnectTimer();
-            begin();
+            sendQuery();
         }
     }
 
-    private void answer(Frame frame, long at) throws ProtocolException {
+    private void processReply(Frame frame, long at) throws ProtocolException {
         reply.accept(frame);
-        if (reply.served() && !servedTold && isCopyOfProbeAnswer()) {
+        if (reply.served() && !servedNotified && isCopyOfProbeAnswer()) {
             reply = new Reply();
-            garbled(at);
+            failOnProtocolError(at);
             return;
         }
-        if (reply.served() && !servedTold) {
-            servedTold = true;
+        if (reply.served() && !servedNotified) {
+            servedNotified = true;
             exchange.served(reply);
         }
         if (reply.ready()) {
-            Exchange over = exchange;
+            Exchange finished = exchange;
             exchange = null;
-            idleAfterProbe = over.isProbe();
-            probeAnswer = over.isProbe() && reply.served() ? reply.answer() : probeAnswer;
-            stage = Stage.IDLE;
-            idleSince = wiring.loop().now();
-            whenIdle.accept(this);
-            over.ended(answered(), reply, at);
+            idleAfterProbe = finished.isProbe();
+            lastProbeAnswer = finished.isProbe() && reply.served() ? reply.answer() : lastProbeAnswer;
+            state = State.IDLE;
+            idleSince = context.loop().now();
+            onIdle.accept(this);
+            finished.ended(outcomeOfReply(), reply, at);
         }
     }
 
-    /** Whether a request was answered with what the host said to the probe before: a second copy that came late. */
+    /** Whether the answer to a request equals the answer to the previous probe: it is a late duplicate of that. */
     private boolean isCopyOfProbeAnswer() {
-        return probeAnswer != null && !exchange.isProbe() && Arrays.equals(probeAnswer, reply.answer());
+        return lastProbeAnswer != null && !exchange.isProbe() && Arrays.equals(lastProbeAnswer, reply.answer());
     }
 
-    private AttemptOutcome answered() {
+    private AttemptOutcome outcomeOfReply() {
         return reply.served() ? AttemptOutcome.SERVED : AttemptOutcome.ofSqlState(reply.sqlState());
     }
 
-    private void garbled(long at) {
-        if (stage == Stage.CLOSED) {
+    private void failOnProtocolError(long at) {
+        if (state == State.CLOSED) {
             return;
         }
-        wiring.counters().add(Counters.Count.BAD_HOSTS);
-        fail(stage == Stage.BUSY ? AttemptOutcome.GARBLED : AttemptOutcome.BROKEN_BEFORE_WRITTEN, at);
+        context.counters().add(Counters.Count.BAD_HOSTS);
+        fail(state == State.BUSY ? AttemptOutcome.GARBLED : AttemptOutcome.BROKEN_BEFORE_WRITTEN, at);
     }
 
     @Override
-    public void ended(long at) {
-        fail(written ? AttemptOutcome.BROKEN_AFTER_WRITTEN : AttemptOutcome.BROKEN_BEFORE_WRITTEN, at);
+    public void disconnected(long at) {
+        fail(queryWritten ? AttemptOutcome.BROKEN_AFTER_WRITTEN : AttemptOutcome.BROKEN_BEFORE_WRITTEN, at);
     }
 
-    /** Ends the connection; what it carried ends by what has come of its answer, else as given. */
-    private void fail(AttemptOutcome ending, long at) {
-        if (stage == Stage.CLOSED) {
+    /** Closes the connection; its exchange ends with the outcome of its answer if that is complete, else as given. */
+    private void fail(AttemptOutcome outcomeWithoutAnswer, long at) {
+        if (state == State.CLOSED) {
             return;
         }
-        Exchange cut = exchange;
-        boolean whole = stage == Stage.BUSY && (reply.served() || reply.sqlState() != null);
-        AttemptOutcome last = whole ? answered() : ending;
+        Exchange interrupted = exchange;
+        boolean answerComplete = state == State.BUSY && (reply.served() || reply.sqlState() != null);
+        AttemptOutcome outcome = answerComplete ? outcomeOfReply() : outcomeWithoutAnswer;
         close();
-        if (cut != null) {
-            cut.ended(last, reply, at);
+        if (interrupted != null) {
+            interrupted.ended(outcome, reply, at);
         }
     }
 
-    /** Ends the connection without a word to its exchange, which is given up. */
+    /** Closes the connection without notifying its exchange, which the caller has given up. */
     void close() {
-        if (stage == Stage.CLOSED) {
+        if (state == State.CLOSED) {
             return;
         }
-        stage = Stage.CLOSED;
+        state = State.CLOSED;
         exchange = null;
         cancelConnectTimer();
         if (session != null) {
             session.closeNow();
-        } else if (connecting != null) {
-            connecting.cancel();
+        } else if (connectFuture != null) {
+            connectFuture.cancel();
         }
-        wiring.descriptors().release();
-        whenClosed.accept(this);
+        context.descriptors().release();
+        onClosed.accept(this);
     }
 
     private void cancelConnectTimer() {
@@ -234,19 +237,19 @@
         }
     }
 
-    /** Whether the last byte of what it carries has gone out. */
-    boolean isWritten() {
-        return written;
+    /** Whether the last byte of the current query has been written. */
+    boolean isQueryWritten() {
+        return queryWritten;
     }
 
-    /** Whether a whole answer is in hand, though its end is not. */
+    /** Whether the answer is complete although ReadyForQuery has not arrived. */
     boolean isAnswered() {
-        return stage == Stage.BUSY && (reply.served() || reply.sqlState() != null);
+        return state == State.BUSY && (reply.served() || reply.sqlState() != null);
     }
 
-    /** How what it carries would end by the answer in hand. */
-    AttemptOutcome endingInHand() {
-        return answered();
+    /** The outcome of the current exchange by the answer received so far. */
+    AttemptOutcome answerOutcome() {
+        return outcomeOfReply();
     }
 
     Reply reply() {
@@ -254,14 +257,15 @@
     }
 
     boolean isIdle() {
-        return stage == Stage.IDLE;
+        return state == State.IDLE;
     }
 
+    /** When the connection became idle, in nanoseconds on the event loop's clock. */
     long idleSince() {
         return idleSince;
     }
 
-    /** Whether what it carried last was a probe, of whose answer a copy is known. */
+    /** Whether the last exchange was a probe, so that a duplicate of its answer would be recognised. */
     boolean isIdleAfterProbe() {
         return idleAfterProbe;
     }
--- a/router/src/main/java/ledgewall/net/HostPool.java
+++ b/router/src/main/java/ledgewall/net/HostPool.java
@@ -8,121 +8,126 @@
 import java.util.Set;
 
 /**
- * Connections to one member, for requests and probes alike. The newest idle one goes first, so that those not needed grow
- * old; {@link IdleConnections} closes them.
+ * Connections to one member, shared by requests and probes. The most recently used idle connection is taken first, so
+ * that surplus connections stay idle until {@link IdleConnections} closes them.
  */
 final class HostPool {
     /**
-     * A connection rests for so long before it carries a request: what a host sends behind its last answer, a second copy or
-     * noise, is seen meanwhile and ends the connection, instead of passing for the answer to the next request.
+     * How long a connection must have been idle before it carries a request. Surplus data after the last answer, such as a
+     * duplicate, arrives meanwhile and closes the connection instead of being mistaken for the next request's answer.
      */
-    private static final long REST = Clock.millis(10);
-    private static final int USUAL_CONNECTIONS = 2;
-
-    private final Wiring wiring;
-    /** The newest first. */
-    private final Deque<HostConnection> idle = new ArrayDeque<>(USUAL_CONNECTIONS);
-    private final Set<HostConnection> retiring = new HashSet<>(USUAL_CONNECTIONS);
-    private final Set<HostConnection> all = new HashSet<>(USUAL_CONNECTIONS);
+    private static final long SETTLE_NANOS = Clock.millis(10);
+    private static final int INITIAL_CAPACITY = 2;
+
+    private final Wiring context;
+    /** The most recently used first. */
+    private final Deque<HostConnection> idle = new ArrayDeque<>(INITIAL_CAPACITY);
+    /** Connections to a former address, closed as soon as they are idle. */
+    private final Set<HostConnection> closingWhenIdle = new HashSet<>(INITIAL_CAPACITY);
+    private final Set<HostConnection> all = new HashSet<>(INITIAL_CAPACITY);
     private InetSocketAddress address;
-    private long lastAnswer;
+    /** In nanoseconds on the event loop's clock; 0 for never. */
+    private long lastAnswerAt;
 
-    HostPool(Wiring wiring, InetSocketAddress address) {
-        this.wiring = wiring;
+    HostPool(Wiring context, InetSocketAddress address) {
+        this.context = context;
         this.address = address;
     }
 
-    /** From now on connects there; connections to the address before end with what they carry. */
-    void moveTo(InetSocketAddress other) {
-        if (!other.equals(address)) {
-            address = other;
+    /** Opens new connections to another address; connections to the former one close after their current exchange. */
+    void changeAddress(InetSocketAddress newAddress) {
+        if (!newAddress.equals(address)) {
+            address = newAddress;
             closeIdle();
-            retiring.addAll(all);
+            closingWhenIdle.addAll(all);
         }
     }
 
-    /** Carries out a request on the newest connection that may carry it or on a new one, which is returned. */
-    HostConnection run(Attempt attempt) {
-        return run(attempt, idleFor(attempt));
+    /** Runs an attempt on the most recently used connection that may carry it, or on a new one; returns the connection. */
+    HostConnection execute(Attempt attempt) {
+        return execute(attempt, findIdle(attempt));
     }
 
-    /** Carries out a probe on the newest idle connection or on a new one, which is returned. */
-    HostConnection run(Probe probe) {
+    /** Runs a probe on the most recently used idle connection, or on a new one; returns the connection. */
+    HostConnection execute(Probe probe) {
         if (!hasIdleForProbe()) {
-            wiring.counters().add(Counters.Count.PROBE_CONNECTIONS);
+            context.counters().add(Counters.Count.PROBE_CONNECTIONS);
         }
-        return run(probe, idle.peekFirst());
+        return execute(probe, idle.peekFirst());
     }
 
-    private HostConnection run(Exchange exchange, HostConnection usable) {
-        HostConnection connection = usable;
+    private HostConnection execute(Exchange exchange, HostConnection reusable) {
+        HostConnection connection = reusable;
         if (connection != null) {
             idle.remove(connection);
-            wiring.idle().remove(connection);
+            context.idle().remove(connection);
             connection.start(exchange);
             return connection;
         }
-        connection = new HostConnection(wiring, this::release, this::forget);
+        connection = new HostConnection(context, this::onIdle, this::onClosed);
         all.add(connection);
         connection.connect(address, exchange);
         return connection;
     }
 
     boolean hasIdleFor(Attempt attempt) {
-        wiring.idle().closeOld(wiring.loop().now());
-        return idleFor(attempt) != null;
+        context.idle().closeExpired(context.loop().now());
+        return findIdle(attempt) != null;
     }
 
-    /** Probes follow at once on one another, as pings do; a report taken for the next one's tells no client anything. */
+    /** Probes need no settling time after one another: a report mistaken for the next probe's reaches no client. */
     boolean hasIdleForProbe() {
-        wiring.idle().closeOld(wiring.loop().now());
+        context.idle().closeExpired(context.loop().now());
         return !idle.isEmpty();
     }
 
-    /** A request that may be repeated follows a probe at once: a copy of the probe's answer is known, and noise costs a retry. */
-    private HostConnection idleFor(Attempt attempt) {
-        long rested = wiring.loop().now() - REST;
+    /**
+     * A repeatable request may follow a probe without settling time: a duplicate of the probe's answer is recognised, and
+     * any other surplus data costs a retry.
+     */
+    private HostConnection findIdle(Attempt attempt) {
+        long settledBefore = context.loop().now() - SETTLE_NANOS;
         for (HostConnection connection : idle) {
-            if (connection.idleSince() <= rested || attempt.isRepeatable() && connection.isIdleAfterProbe()) {
+            if (connection.idleSince() <= settledBefore || attempt.isRepeatable() && connection.isIdleAfterProbe()) {
                 return connection;
             }
         }
         return null;
     }
 
-    /** Whether any connection is open, and so whether this pool is still of use when its member is gone. */
+    /** Whether no connection is open, so that the pool of a removed member can be dropped. */
     boolean isEmpty() {
         return all.isEmpty();
     }
 
-    /** Connections that carry something or are on their way up. */
-    int busy() {
+    /** Connections that carry an exchange or are being opened. */
+    int busyCount() {
         return all.size() - idle.size();
     }
 
-    int idle() {
+    int idleCount() {
         return idle.size();
     }
 
-    /** When an exchange last came to its end here, 0 for never. */
-    long lastAnswer() {
-        return lastAnswer;
+    /** When an exchange last completed, in nanoseconds on the event loop's clock; 0 for never. */
+    long lastAnswerAt() {
+        return lastAnswerAt;
     }
 
-    private void release(HostConnection connection) {
-        lastAnswer = wiring.loop().now();
-        if (retiring.contains(connection)) {
+    private void onIdle(HostConnection connection) {
+        lastAnswerAt = context.loop().now();
+        if (closingWhenIdle.contains(connection)) {
             connection.close();
         } else {
             idle.addFirst(connection);
-            wiring.idle().add(connection);
+            context.idle().add(connection);
         }
     }
 
-    private void forget(HostConnection connection) {
+    private void onClosed(HostConnection connection) {
         idle.remove(connection);
-        wiring.idle().remove(connection);
-        retiring.remove(connection);
+        context.idle().remove(connection);
+        closingWhenIdle.remove(connection);
         all.remove(connection);
     }
 
--- a/router/src/main/java/ledgewall/net/HostReports.java
+++ b/router/src/main/java/ledgewall/net/HostReports.java
@@ -7,14 +7,14 @@
 import ledgewall.RoutingPolicy.Role;
 import ledgewall.pg.Reply;
 
-/** What hosts tell beside their answers, in the policy's units. */
+/** Parses what members report about themselves (role, position, load) into the policy's units. */
 final class HostReports {
     private static final String MODE = "mode";
     private static final String WAL_TIME = "wal_time";
     private static final String STATS = "stats";
-    /** All machines read one clock; a position later than now by more than rounding is none. */
-    private static final long CLOCKS_APART = Clock.millis(100);
-    private static final int LONGEST_REPORT = 1_024;
+    /** All machines share one clock; a position further in the future than rounding explains is invalid. */
+    private static final long MAX_FUTURE_NANOS = Clock.millis(100);
+    private static final int MAX_REPORT_LENGTH = 1_024;
 
     private HostReports() {
     }
@@ -28,47 +28,47 @@
         };
     }
 
-    /** The position that an answer tells, in Unix milliseconds there; none where it is absent, 0 or can't be. */
+    /** The position reported with an answer, in Unix nanoseconds; {@code NONE} if it is absent, 0 or invalid. */
     static long position(Reply reply, long now) {
-        long position = Clock.ofUnixMillis(number(reply.parameter(WAL_TIME)));
-        return position == 0 || position > now + CLOCKS_APART ? RoutingPolicy.NONE : position;
+        long position = Clock.ofUnixMillis(parseNumber(reply.parameter(WAL_TIME)));
+        return position == 0 || position > now + MAX_FUTURE_NANOS ? RoutingPolicy.NONE : position;
     }
 
-    /** The report that came with an answer, or null. */
+    /** The load report sent with an answer, or null. */
     static Report report(Reply reply, long now) {
         return report(reply.parameter(STATS), now);
     }
 
     /**
-     * Reads {@code name=value,name=value}; null for no text, or where any of it can't be read or can't be: what stands
-     * beside nonsense is no fact either. Unknown names are passed over.
+     * Parses {@code name=value,name=value}. Returns null for a blank text, and also if any part is malformed or out of range:
+     * the other values of such a report are not trusted either. Unknown names are ignored.
      */
     static Report report(String text, long now) {
-        if (text == null || text.isBlank() || text.length() > LONGEST_REPORT) {
+        if (text == null || text.isBlank() || text.length() > MAX_REPORT_LENGTH) {
             return null;
         }
         Map<String, Double> values = new HashMap<>();
         for (String pair : text.split(",", -1)) {
-            int equals = pair.indexOf('=');
-            double value = number(pair.substring(equals + 1).trim());
-            if (equals <= 0 || !Double.isFinite(value) || value < 0) {
+            int separator = pair.indexOf('=');
+            double value = parseNumber(pair.substring(separator + 1).trim());
+            if (separator <= 0 || !Double.isFinite(value) || value < 0) {
                 return null;
             }
-            values.put(pair.substring(0, equals).trim(), value);
+            values.put(pair.substring(0, separator).trim(), value);
         }
-        double primary = values.getOrDefault("x1", Double.NaN);
-        // Positions in reports are Unix seconds; 0 is one too, of long ago: what stands beside it is as old.
-        double seconds = values.getOrDefault("x0", Double.NaN);
-        long position = Double.isNaN(seconds) ? RoutingPolicy.NONE : Clock.ofUnixSeconds(seconds);
-        if (primary > 1 || position > now + CLOCKS_APART || seconds > 0 && position == 0) {
+        double primaryFlag = values.getOrDefault("x1", Double.NaN);
+        // Positions in reports are Unix seconds. 0 is a valid position in the distant past, so the report is that old too.
+        double positionSeconds = values.getOrDefault("x0", Double.NaN);
+        long position = Double.isNaN(positionSeconds) ? RoutingPolicy.NONE : Clock.ofUnixSeconds(positionSeconds);
+        if (primaryFlag > 1 || position > now + MAX_FUTURE_NANOS || positionSeconds > 0 && position == 0) {
             return null;
         }
-        Role role = Double.isNaN(primary) ? Role.UNKNOWN : primary == 1 ? Role.PRIMARY : Role.REPLICA;
+        Role role = Double.isNaN(primaryFlag) ? Role.UNKNOWN : primaryFlag == 1 ? Role.PRIMARY : Role.REPLICA;
         return new Report(position, role,
             values.getOrDefault("util", Double.NaN), values.getOrDefault("queue", Double.NaN));
     }
 
-    private static double number(String text) {
+    private static double parseNumber(String text) {
         if (text == null) {
             return Double.NaN;
         }
--- a/router/src/main/java/ledgewall/net/IdleConnections.java
+++ b/router/src/main/java/ledgewall/net/IdleConnections.java
@@ -5,32 +5,34 @@
 import java.util.Set;
 
 /**
- * The idle connections to all members, the longest idle first. They are bounded together, not for each member: how many a
- * router keeps goes by its descriptors, however many members there are. Over the bound the longest idle is closed.
+ * The idle connections to all members, the longest idle first. One limit applies to all of them together rather than to
+ * each member, so that it follows from the descriptor limit, however many members there are. Beyond the limit the
+ * longest idle connection is closed.
  */
 final class IdleConnections {
-    /** Idle connections are closed at this part of the time after which the host would close them. */
-    private static final double CLOSE_AT = 0.9;
+    /** The fraction of the host's own idle timeout after which the router closes a connection. */
+    private static final double CLOSE_AT_FRACTION = 0.9;
 
     private final Counters counters;
-    private final int most;
-    private final long oldest;
+    private final int maxConnections;
+    private final long maxIdleNanos;
     private final Set<HostConnection> connections = new LinkedHashSet<>();
 
     /**
-     * Keeps {@code most} connections at most, none longer than a part of {@code hostClosesAfter} nanoseconds; 0 where hosts
-     * never close them.
+     * Keeps at most {@code maxConnections} connections.
+     *
+     * @param hostIdleTimeoutNanos after which hosts close an idle connection; 0 if they never do
      */
-    IdleConnections(Counters counters, int most, long hostClosesAfter) {
+    IdleConnections(Counters counters, int maxConnections, long hostIdleTimeoutNanos) {
         this.counters = counters;
-        this.most = most;
-        this.oldest = (long) (CLOSE_AT * hostClosesAfter);
+        this.maxConnections = maxConnections;
+        this.maxIdleNanos = (long) (CLOSE_AT_FRACTION * hostIdleTimeoutNanos);
     }
 
-    /** A connection that has become idle just now. */
+    /** Adds a connection that has just become idle. */
     void add(HostConnection connection) {
         connections.add(connection);
-        if (connections.size() > most) {
+        if (connections.size() > maxConnections) {
             closeOldest();
         }
     }
@@ -39,7 +41,7 @@
         connections.remove(connection);
     }
 
-    /** Closes the connection that has been idle for longest; false if there is none. */
+    /** Closes the connection that has been idle the longest; returns false if there is none. */
     boolean closeOldest() {
         Iterator<HostConnection> first = connections.iterator();
         if (!first.hasNext()) {
@@ -50,11 +52,11 @@
         return true;
     }
 
-    /** Closes the connections that their hosts will soon close themselves. */
-    void closeOld(long now) {
-        while (oldest > 0 && !connections.isEmpty()) {
+    /** Closes connections shortly before their hosts would. */
+    void closeExpired(long now) {
+        while (maxIdleNanos > 0 && !connections.isEmpty()) {
             HostConnection first = connections.iterator().next();
-            if (first.idleSince() > now - oldest) {
+            if (first.idleSince() > now - maxIdleNanos) {
                 return;
             }
             counters.add(Counters.Count.RETIRED);
--- a/router/src/main/java/ledgewall/net/Members.java
+++ b/router/src/main/java/ledgewall/net/Members.java
@@ -17,125 +17,125 @@
 import ledgewall.settings.FormatException;
 import ledgewall.settings.Vocabulary;
 
-/** The members by id: where each is reached, over which connections, and what the policy is told of it. */
+/** The known members by id, each with its connection pool; passes member lists on to the policy. */
 final class Members {
-    private final Wiring wiring;
-    private final NameInterner zones;
-    private final NameInterner kinds;
-    private final Map<String, HostPool> hosts = new LinkedHashMap<>();
-    /** Members that the policy has done with; each leaves with its last connection, or when it is listed again. */
-    private final Map<String, HostPool> forgotten = new HashMap<>();
-    /** Groups that lists have named: as many as the deployment has. */
-    private final Set<Long> groups = new HashSet<>();
+    private final Wiring context;
+    private final NameInterner zoneIndexes;
+    private final NameInterner kindIndexes;
+    private final Map<String, HostPool> pools = new LinkedHashMap<>();
+    /** Members that the policy has removed. Each is dropped with its last connection, or kept if a list names it again. */
+    private final Map<String, HostPool> removed = new HashMap<>();
+    /** Groups that lists have named; their number is bounded by the deployment. */
+    private final Set<Long> knownGroups = new HashSet<>();
 
-    Members(Wiring wiring, Vocabulary vocabulary) {
-        this.wiring = wiring;
-        this.zones = new NameInterner(vocabulary.zones());
-        this.kinds = new NameInterner(vocabulary.kinds());
+    Members(Wiring context, Vocabulary vocabulary) {
+        this.context = context;
+        this.zoneIndexes = new NameInterner(vocabulary.zones());
+        this.kindIndexes = new NameInterner(vocabulary.kinds());
     }
 
-    /** The member's connections, or null if it was never listed. */
-    HostPool host(String id) {
-        return hosts.get(id);
+    /** The member's connection pool, or null if the member is not known. */
+    HostPool pool(String id) {
+        return pools.get(id);
     }
 
-    /** Whether any list has named this group; without any list nobody can tell. */
+    /** Whether a list has named this group; true for every group as long as no list has arrived. */
     boolean knowsGroup(long group) {
-        return groups.isEmpty() || groups.contains(group);
+        return knownGroups.isEmpty() || knownGroups.contains(group);
     }
 
-    /** Takes a list in and tells the policy. */
-    void learn(ListUpdate update, ListKind kind) {
-        update.members().forEach(this::place);
+    /** Applies a list and passes it to the policy. */
+    void applyList(ListUpdate update, ListKind kind) {
+        update.members().forEach(this::addOrUpdate);
         if (update.complete()) {
             Set<String> listed = update.members().stream().map(Member::id).collect(Collectors.toSet());
-            hosts.forEach((id, host) -> {
+            pools.forEach((id, pool) -> {
                 if (!listed.contains(id)) {
-                    host.closeIdle();
+                    pool.closeIdle();
                 }
             });
         }
-        wiring.loop().tell(new RoutingPolicy.MemberList(kind, update.members().stream().map(this::listing).toList()));
+        context.loop().tell(new RoutingPolicy.MemberList(kind, update.members().stream().map(this::toListing).toList()));
     }
 
-    private void place(Member member) {
-        HostPool host = hosts.get(member.id());
+    private void addOrUpdate(Member member) {
+        HostPool pool = pools.get(member.id());
         if (member.phase() == Member.Phase.GONE) {
-            if (host != null) {
-                host.closeIdle();
+            if (pool != null) {
+                pool.closeIdle();
             }
             return;
         }
-        forgotten.remove(member.id());
-        groups.add(member.cell());
-        InetSocketAddress address = RouterConfig.address("discovery", member.id(), member.address());
-        if (host == null) {
-            hosts.put(member.id(), new HostPool(wiring, address));
+        removed.remove(member.id());
+        knownGroups.add(member.cell());
+        InetSocketAddress address = RouterConfig.parseAddress("discovery", member.id(), member.address());
+        if (pool == null) {
+            pools.put(member.id(), new HostPool(context, address));
         } else {
-            host.moveTo(address);
+            pool.changeAddress(address);
         }
     }
 
-    /** Whether every entry that needs an address has one; a list with a bad one is not taken in. */
-    static void check(ListUpdate update) {
+    /** Throws a {@link FormatException} if an entry has an invalid address or no id; such a list is not applied. */
+    static void validate(ListUpdate update) {
         for (Member member : update.members()) {
             if (member.phase() != Member.Phase.GONE) {
-                RouterConfig.address("discovery", member.id(), member.address());
+                RouterConfig.parseAddress("discovery", member.id(), member.address());
             } else if (member.id().isEmpty()) {
-                throw new FormatException("discovery: a member without an id");
+                throw new FormatException("discovery: member without an id");
             }
         }
     }
 
-    private Listing listing(Member member) {
+    private Listing toListing(Member member) {
         RoutingPolicy.Phase phase = switch (member.phase()) {
             case READY -> RoutingPolicy.Phase.SERVING;
             case TERMINATING -> RoutingPolicy.Phase.DRAINING;
             case GONE -> RoutingPolicy.Phase.GONE;
         };
-        return new Listing(member.id(), member.cell(), zones.index(member.locality()), kinds.index(member.flavor()),
-            phase, member.size(), member.primary(), Clock.ofUnixMillis(member.upSinceMillis()));
+        return new Listing(member.id(), member.cell(), zoneIndexes.indexOf(member.locality()),
+            kindIndexes.indexOf(member.flavor()), phase, member.size(), member.primary(), Clock.ofUnixMillis(member.upSinceMillis()));
     }
 
-    /** The policy has done with a member: it goes once nothing of it is open, unless a list names it again. */
+    /** Drops a member that the policy has removed once its last connection is closed, unless a list names it again. */
     void forget(String id) {
-        HostPool host = hosts.get(id);
-        if (host != null) {
-            host.closeIdle();
-            forgotten.put(id, host);
+        HostPool pool = pools.get(id);
+        if (pool != null) {
+            pool.closeIdle();
+            removed.put(id, pool);
         }
     }
 
     /**
-     * What is open to each member that anything is open to, and how long ago it last answered a request or a probe: the
-     * router's side of the sockets.
+     * Describes the open connections of each member that has any, and how long ago it last answered a request or a probe,
+     * as seen from the router.
      */
-    String view() {
-        long now = wiring.loop().now();
-        List<String> open = new ArrayList<>();
-        hosts.forEach((id, host) -> {
-            if (!host.isEmpty()) {
-                String answered = host.lastAnswer() == 0 ? "none answered yet"
-                    : "answered " + Clock.toMillis(now - host.lastAnswer()) + " ms ago";
-                open.add(id + ": " + host.busy() + " in flight, " + host.idle() + " idle, " + answered
-                    + (forgotten.containsKey(id) ? ", gone" : ""));
+    String describeConnections() {
+        long now = context.loop().now();
+        List<String> descriptions = new ArrayList<>();
+        pools.forEach((id, pool) -> {
+            if (!pool.isEmpty()) {
+                String lastAnswer = pool.lastAnswerAt() == 0 ? "none answered yet"
+                    : "answered " + Clock.toMillis(now - pool.lastAnswerAt()) + " ms ago";
+                descriptions.add(id + ": " + pool.busyCount() + " in flight, " + pool.idleCount() + " idle, " + lastAnswer
+                    + (removed.containsKey(id) ? ", gone" : ""));
             }
         });
-        return hosts.size() + " known, " + open.size() + " with connections: " + String.join("; ", open);
+        return pools.size() + " known, " + descriptions.size() + " with connections: " + String.join("; ", descriptions);
     }
 
-    /** Members known, those that are being forgotten included. */
+    /** The number of known members, including removed ones that still have connections. */
     int size() {
-        return hosts.size();
+        return pools.size();
     }
 
-    /** Forgets the members of which nothing is open any more, and closes connections that have been idle for long. */
+    /** Drops removed members without open connections, and closes connections that have been idle for too long. */
     void sweep() {
-        forgotten.entrySet().removeIf(entry -> entry.getValue().isEmpty() && hosts.remove(entry.getKey(), entry.getValue()));
-        wiring.idle().closeOld(wiring.loop().now());
+        removed.entrySet().removeIf(entry -> entry.getValue().isEmpty() && pools.remove(entry.getKey(), entry.getValue()));
+        context.idle().closeExpired(context.loop().now());
     }
 
     void closeAll() {
-        hosts.values().forEach(HostPool::closeAll);
+        pools.values().forEach(HostPool::closeAll);
     }
 }
--- a/router/src/main/java/ledgewall/net/NameInterner.java
+++ b/router/src/main/java/ledgewall/net/NameInterner.java
@@ -4,21 +4,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** Indexes of names: those that the settings list, then the others in the order in which they were met. */
+/** Assigns indexes to names: first to those in the settings, then to others in the order in which they appear. */
 final class NameInterner {
-    /** Names beyond this many share the last index: whoever makes them up gets no memory for it. */
-    private static final int MOST = 4096;
+    /** Names beyond this number share the last index, so that a sender of made-up names can't exhaust memory. */
+    private static final int MAX_NAMES = 4096;
 
     private final Map<String, Integer> indexes = new HashMap<>();
 
-    NameInterner(List<String> listed) {
-        listed.forEach(this::index);
+    NameInterner(List<String> configuredNames) {
+        configuredNames.forEach(this::indexOf);
     }
 
-    int index(String name) {
-        Integer known = indexes.get(name);
-        if (known != null || indexes.size() >= MOST) {
-            return known != null ? known : MOST;
+    int indexOf(String name) {
+        Integer index = indexes.get(name);
+        if (index != null || indexes.size() >= MAX_NAMES) {
+            return index != null ? index : MAX_NAMES;
         }
         indexes.put(name, indexes.size());
         return indexes.size() - 1;
--- a/router/src/main/java/ledgewall/net/Peers.java
+++ b/router/src/main/java/ledgewall/net/Peers.java
@@ -12,69 +12,69 @@
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioDatagramAcceptor;
 
-/** Datagrams between the routers of a tier. */
+/** Sends and receives datagrams between the routers of a deployment. */
 final class Peers {
-    /** The longest datagram that routers may send. */
-    private static final int LONGEST = 256;
-    /** Room to see that a datagram is too long. */
-    private static final int READ_BUFFER = 512;
+    /** The largest datagram that routers may exchange. */
+    private static final int MAX_DATAGRAM_BYTES = 256;
+    /** Larger than a valid datagram, so that one that is too long can be recognised. */
+    private static final int READ_BUFFER_BYTES = 512;
 
-    private final Wiring wiring;
+    private final Wiring context;
     private final List<InetSocketAddress> peers;
-    private final InetSocketAddress everyone;
-    private final InetSocketAddress listen;
-    private final Map<SocketAddress, Integer> numbers = new HashMap<>();
-    private NioDatagramAcceptor socket;
+    private final InetSocketAddress allPeersAddress;
+    private final InetSocketAddress listenAddress;
+    private final Map<SocketAddress, Integer> peerIndexes = new HashMap<>();
+    private NioDatagramAcceptor acceptor;
 
-    Peers(Wiring wiring, RouterConfig config) {
-        this.wiring = wiring;
+    Peers(Wiring context, RouterConfig config) {
+        this.context = context;
         this.peers = config.peers();
-        this.everyone = config.peersAll();
-        this.listen = config.peerListen();
+        this.allPeersAddress = config.allPeersAddress();
+        this.listenAddress = config.peerListen();
         for (InetSocketAddress peer : peers) {
-            numbers.put(peer, numbers.size());
+            peerIndexes.put(peer, peerIndexes.size());
         }
     }
 
     void open() throws IOException {
-        socket = new NioDatagramAcceptor();
-        socket.getSessionConfig().setReadBufferSize(READ_BUFFER);
-        socket.getSessionConfig().setReuseAddress(true);
-        socket.setHandler(new Handler());
-        socket.bind(listen);
+        acceptor = new NioDatagramAcceptor();
+        acceptor.getSessionConfig().setReadBufferSize(READ_BUFFER_BYTES);
+        acceptor.getSessionConfig().setReuseAddress(true);
+        acceptor.setHandler(new Handler());
+        acceptor.bind(listenAddress);
     }
 
-    /** Where datagrams arrive. */
-    InetSocketAddress listening() {
-        return socket.getLocalAddress();
+    /** The local address on which datagrams are received. */
+    InetSocketAddress boundAddress() {
+        return acceptor.getLocalAddress();
     }
 
-    /** Sends to one router by its number, or to all. */
-    void tell(RoutingPolicy.Tell tell) {
-        InetSocketAddress to = tell.router() == RoutingPolicy.NONE ? everyone
-            : tell.router() >= 0 && tell.router() < peers.size() ? peers.get((int) tell.router()) : null;
-        if (socket == null || to == null || tell.content().length > LONGEST) {
-            wiring.counters().add(Counters.Count.BAD_PEER_MESSAGES);
+    /** Sends a datagram to the router with the given index in the list of peers, or to all routers. */
+    void send(RoutingPolicy.Tell message) {
+        InetSocketAddress destination = message.router() == RoutingPolicy.NONE ? allPeersAddress
+            : message.router() >= 0 && message.router() < peers.size() ? peers.get((int) message.router()) : null;
+        if (acceptor == null || destination == null || message.content().length > MAX_DATAGRAM_BYTES) {
+            context.counters().add(Counters.Count.BAD_PEER_MESSAGES);
             return;
         }
-        wiring.counters().add(Counters.Count.PEER_MESSAGES_OUT);
-        socket.newSession(to, socket.getLocalAddress()).write(IoBuffer.wrap(tell.content()));
+        context.counters().add(Counters.Count.PEER_MESSAGES_OUT);
+        acceptor.newSession(destination, acceptor.getLocalAddress()).write(IoBuffer.wrap(message.content()));
     }
 
     void close() {
-        if (socket != null) {
-            socket.dispose(false);
+        if (acceptor != null) {
+            acceptor.dispose(false);
         }
     }
 
-    private void received(SocketAddress from, byte[] content) {
-        Integer number = numbers.get(from);
-        if (number == null || content.length > LONGEST) {
-            wiring.counters().add(Counters.Count.BAD_PEER_MESSAGES);
+    private void receive(SocketAddress from, byte[] content) {
+        Integer peerIndex = peerIndexes.get(from);
+        if (peerIndex == null || content.length > MAX_DATAGRAM_BYTES) {
+            context.counters().add(Counters.Count.BAD_PEER_MESSAGES);
             return;
         }
-        wiring.counters().add(Counters.Count.PEER_MESSAGES_IN);
-        wiring.loop().tell(new RoutingPolicy.PeerMessage(number, content));
+        context.counters().add(Counters.Count.PEER_MESSAGES_IN);
+        context.loop().tell(new RoutingPolicy.PeerMessage(peerIndex, content));
     }
 
     private final class Handler extends IoHandlerAdapter {
@@ -84,12 +84,12 @@
             byte[] content = new byte[buffer.remaining()];
             buffer.get(content);
             SocketAddress from = session.getRemoteAddress();
-            wiring.loop().post(() -> received(from, content));
+            context.loop().post(() -> receive(from, content));
         }
 
         @Override
         public void exceptionCaught(IoSession session, Throwable cause) {
-            // a datagram that cannot be sent is one that is lost
+            // a datagram that cannot be sent is treated like one lost on the network
         }
     }
 }
--- a/router/src/main/java/ledgewall/net/Probe.java
+++ b/router/src/main/java/ledgewall/net/Probe.java
@@ -8,44 +8,45 @@
 import ledgewall.pg.SqlState;
 
 /**
- * One probe of a member, on a connection that no request uses meanwhile. Its time runs from the write of its query to
- * the reading of its answer by the I/O thread, so neither connecting nor a late loop counts.
+ * One probe of a member, on a connection that no request uses meanwhile. Its latency is measured from the write of its
+ * query until the I/O thread reads the answer, so it includes neither connecting nor a delay of the event loop.
  */
 final class Probe implements Exchange {
-    private static final byte[] ASK_REPORT = MessageWriter.query("SHOW stats");
-    private static final byte[] ASK_HEALTH = MessageWriter.query("SELECT 1");
+    private static final byte[] REPORT_QUERY = MessageWriter.query("SHOW stats");
+    private static final byte[] HEALTH_QUERY = MessageWriter.query("SELECT 1");
 
-    private final Wiring wiring;
+    private final Wiring context;
     private final String member;
-    private final boolean reports;
+    private final boolean requestsReport;
     private HostConnection connection;
-    private EventLoop.Timer timer;
+    private EventLoop.Timer timeoutTimer;
+    /** In nanoseconds on the router's clock. */
     private long startedAt;
     private boolean ended;
 
-    Probe(Wiring wiring, String member, boolean reports) {
-        this.wiring = wiring;
+    Probe(Wiring context, String member, boolean requestsReport) {
+        this.context = context;
         this.member = member;
-        this.reports = reports;
-        this.startedAt = wiring.loop().now();
+        this.requestsReport = requestsReport;
+        this.startedAt = context.loop().now();
     }
 
     void start(HostPool pool) {
-        wiring.counters().add(Counters.Count.PROBES);
-        if (!pool.hasIdleForProbe() && !wiring.descriptors().roomForTraffic() && !wiring.idle().closeOldest()) {
-            ended(AttemptOutcome.NO_DESCRIPTOR, new Reply(), wiring.loop().now());
+        context.counters().add(Counters.Count.PROBES);
+        if (!pool.hasIdleForProbe() && !context.descriptors().hasRoomForTraffic() && !context.idle().closeOldest()) {
+            ended(AttemptOutcome.NO_DESCRIPTOR, new Reply(), context.loop().now());
             return;
         }
-        connection = pool.run(this);
-        if (!ended && wiring.connectTimeout() > 0) {
-            timer = wiring.loop().in(wiring.connectTimeout(), this::timeOut);
+        connection = pool.execute(this);
+        if (!ended && context.connectTimeout() > 0) {
+            timeoutTimer = context.loop().in(context.connectTimeout(), this::onTimeout);
         }
     }
 
-    private void timeOut() {
+    private void onTimeout() {
         if (!ended) {
             connection.close();
-            ended(AttemptOutcome.TIMED_OUT, new Reply(), wiring.loop().now());
+            ended(AttemptOutcome.TIMED_OUT, new Reply(), context.loop().now());
         }
     }
 
@@ -56,35 +57,35 @@
 
     @Override
     public byte[] query() {
-        return reports ? ASK_REPORT : ASK_HEALTH;
+        return requestsReport ? REPORT_QUERY : HEALTH_QUERY;
     }
 
     @Override
-    public void begun(long at) {
+    public void started(long at) {
         startedAt = at;
     }
 
     @Override
     public void served(Reply reply) {
-        // told when its end has come
+        // reported to the policy when the exchange ends
     }
 
     @Override
-    public void ended(AttemptOutcome ending, Reply reply, long at) {
+    public void ended(AttemptOutcome endedAs, Reply reply, long at) {
         if (ended) {
             return;
         }
         ended = true;
-        if (timer != null) {
-            timer.cancel();
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel();
         }
-        boolean notReady = ending == AttemptOutcome.HOST_ERROR && SqlState.CANNOT_CONNECT_NOW.equals(reply.sqlState());
-        AttemptOutcome last = notReady ? AttemptOutcome.NOT_READY : ending;
-        RoutingPolicy.Report report = last == AttemptOutcome.SERVED && reports ? report(reply, at) : null;
-        wiring.loop().tell(new ProbeResult(member, last.result(), Math.max(1, at - startedAt), report));
+        boolean notReady = endedAs == AttemptOutcome.HOST_ERROR && SqlState.CANNOT_CONNECT_NOW.equals(reply.sqlState());
+        AttemptOutcome outcome = notReady ? AttemptOutcome.NOT_READY : endedAs;
+        RoutingPolicy.Report report = outcome == AttemptOutcome.SERVED && requestsReport ? parseReport(reply, at) : null;
+        context.loop().tell(new ProbeResult(member, outcome.result(), Math.max(1, at - startedAt), report));
     }
 
-    private static RoutingPolicy.Report report(Reply reply, long at) {
+    private static RoutingPolicy.Report parseReport(Reply reply, long at) {
         try {
             return HostReports.report(reply.text(), at);
         } catch (ProtocolException e) {
--- a/router/src/main/java/ledgewall/net/RouterConfig.java
+++ b/router/src/main/java/ledgewall/net/RouterConfig.java
@@ -18,110 +18,128 @@
 import ledgewall.settings.TransportLimits;
 import ledgewall.settings.Vocabulary;
 
-/** All that one router is told before it starts. Addresses that are absent are null. */
-public record RouterConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-                           InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll,
-                           ListUpdate known, RoutingPolicy.Settings settings, Vocabulary vocabulary,
+/**
+ * The configuration of one router.
+ *
+ * @param name the router's name in log lines
+ * @param listen the address on which clients connect
+ * @param discovery the address of the discovery service
+ * @param seed for all random choices of this router
+ * @param descriptorLimit how many file descriptors the router may use
+ * @param peerListen the address on which datagrams from other routers are received, or null
+ * @param peers the addresses of all routers, this one included; a router's index in the list is its number
+ * @param allPeersAddress the address that reaches all routers, or null
+ * @param knownList the list of members known before the start
+ * @param settings what the routing policy is configured with
+ * @param vocabulary the names of classes, tenants, zones and kinds
+ * @param transport timeouts and other limits of connections
+ */
+public record RouterConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int descriptorLimit,
+                           InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress allPeersAddress,
+                           ListUpdate knownList, RoutingPolicy.Settings settings, Vocabulary vocabulary,
                            TransportLimits transport) {
-    private static final int HEX = 16;
-    private static final int DEFAULT_SOCKETS = 1024;
-    private static final int LAST_PORT = 65535;
+    private static final int HEX_RADIX = 16;
+    private static final int DEFAULT_DESCRIPTOR_LIMIT = 1024;
+    private static final int MAX_PORT = 65535;
 
-    /** Reads the configuration file; what is wrong with it is told by a {@link FormatException}. */
+    /** Reads the configuration file; throws a {@link FormatException} that describes the fault if it is invalid. */
     public static RouterConfig read(Path file) throws IOException {
         return parse(Files.readAllBytes(file), file.getFileName().toString());
     }
 
-    static RouterConfig parse(byte[] json, String where) throws IOException {
+    static RouterConfig parse(byte[] json, String source) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(json)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new FormatException(where + ": no JSON object");
+                throw new FormatException(source + ": no JSON object");
             }
-            return of(Fields.read(parser, where));
+            return fromFields(Fields.read(parser, source));
         } catch (JsonProcessingException e) {
-            throw new FormatException(where + ": no JSON: " + e.getOriginalMessage());
+            throw new FormatException(source + ": no JSON: " + e.getOriginalMessage());
         }
     }
 
-    private static RouterConfig of(Fields fields) {
+    private static RouterConfig fromFields(Fields fields) {
         if (!fields.has("settings")) {
             throw new FormatException(fields.where() + ": lacks 'settings'");
         }
         Fields settings = fields.object("settings");
-        ListUpdate known = fields.has("known") ? ListParser.read(fields.object("known"))
+        ListUpdate knownList = fields.has("known") ? ListParser.read(fields.object("known"))
             : new ListUpdate(0, true, List.of());
         List<InetSocketAddress> peers = fields.elements("peers").stream()
-            .map(peer -> address(fields.where(), "peers", peer.toString())).toList();
-        checkFleet(settings, peers.size());
-        atLeast(1, fields.object("limits"), "sockets", DEFAULT_SOCKETS);
+            .map(peer -> parseAddress(fields.where(), "peers", peer.toString())).toList();
+        checkFleetSize(settings, peers.size());
+        checkMinimum(1, fields.object("limits"), "sockets", DEFAULT_DESCRIPTOR_LIMIT);
         Fields ceilings = settings.object("ceilings");
-        atLeast(1, ceilings, "maxAttempts", 1);
-        atLeast(0, ceilings, "connectTimeoutNs", 0);
-        atLeast(0, ceilings, "connIdleNs", 0);
+        checkMinimum(1, ceilings, "maxAttempts", 1);
+        checkMinimum(0, ceilings, "connectTimeoutNs", 0);
+        checkMinimum(0, ceilings, "connIdleNs", 0);
         return new RouterConfig(
-            fields.text("name", "router"), required(fields, "listen"), required(fields, "discovery"),
-            seed(fields), (int) fields.object("limits").integer("sockets", DEFAULT_SOCKETS),
-            optional(fields, "peer_listen"), peers, optional(fields, "peers_all"), known,
+            fields.text("name", "router"), requiredAddress(fields, "listen"), requiredAddress(fields, "discovery"),
+            seed(fields), (int) fields.object("limits").integer("sockets", DEFAULT_DESCRIPTOR_LIMIT),
+            optionalAddress(fields, "peer_listen"), peers, optionalAddress(fields, "peers_all"), knownList,
             SettingsReader.settings(settings), SettingsReader.vocabulary(settings),
             SettingsReader.transportLimits(settings));
     }
 
-    /** Shares of the fleet's sums go by these numbers: one that is missing or cannot be is told, never guessed. */
-    private static void checkFleet(Fields settings, int peers) {
+    /** Checks the numbers that determine each router's share of fleet-wide limits; a missing one is an error too. */
+    private static void checkFleetSize(Fields settings, int peers) {
         long routers = settings.integer("peersTotal");
         long rank = settings.integer("rank");
         if (routers < 1 || routers > Integer.MAX_VALUE) {
-            throw new FormatException(settings.where() + ": 'peersTotal' has to be 1 or more, not " + routers);
+            throw new FormatException(settings.where() + ": 'peersTotal' must be 1 or more, not " + routers);
         }
         if (rank < 0 || rank >= routers) {
-            throw new FormatException(settings.where() + ": 'rank' has to be from 0 to " + (routers - 1) + ", not " + rank);
+            throw new FormatException(settings.where() + ": 'rank' must be between 0 and " + (routers - 1) + ", not " + rank);
         }
         if (peers > 0 && peers != routers) {
-            throw new FormatException(settings.where() + ": 'peersTotal' is " + routers + ", but 'peers' names " + peers);
+            throw new FormatException(settings.where() + ": 'peersTotal' is " + routers + ", but 'peers' lists " + peers);
         }
     }
 
-    private static void atLeast(long least, Fields fields, String name, long otherwise) {
-        long value = fields.integer(name, otherwise);
-        if (value < least) {
-            throw new FormatException(fields.where() + ": '" + name + "' has to be " + least + " or more, not " + value);
+    private static void checkMinimum(long minimum, Fields fields, String name, long defaultValue) {
+        long value = fields.integer(name, defaultValue);
+        if (value < minimum) {
+            throw new FormatException(fields.where() + ": '" + name + "' must be " + minimum + " or more, not " + value);
         }
     }
 
-    /** This configuration, with what of another may change while a router runs and what each start has anew. */
-    RouterConfig withDiscovery(RouterConfig other) {
-        return new RouterConfig(name, listen, other.discovery, other.seed, sockets, peerListen, peers, peersAll,
-            other.known, settings, vocabulary, transport);
+    /**
+     * This configuration with those values of another that may change while a router runs (the address of discovery) or
+     * that differ at each start (the seed and the known list).
+     */
+    RouterConfig withReloadable(RouterConfig other) {
+        return new RouterConfig(name, listen, other.discovery, other.seed, descriptorLimit, peerListen, peers, allPeersAddress,
+            other.knownList, settings, vocabulary, transport);
     }
 
     private static long seed(Fields fields) {
         String text = fields.text("seed", "0");
         try {
-            return Long.parseUnsignedLong(text, HEX);
+            return Long.parseUnsignedLong(text, HEX_RADIX);
         } catch (NumberFormatException e) {
-            throw new FormatException(fields.where() + ": 'seed' is no hexadecimal number");
+            throw new FormatException(fields.where() + ": 'seed' is not a hexadecimal number");
         }
     }
 
-    private static InetSocketAddress required(Fields fields, String name) {
-        return address(fields.where(), name, fields.text(name));
+    private static InetSocketAddress requiredAddress(Fields fields, String name) {
+        return parseAddress(fields.where(), name, fields.text(name));
     }
 
-    private static InetSocketAddress optional(Fields fields, String name) {
-        return fields.has(name) ? address(fields.where(), name, fields.text(name)) : null;
+    private static InetSocketAddress optionalAddress(Fields fields, String name) {
+        return fields.has(name) ? parseAddress(fields.where(), name, fields.text(name)) : null;
     }
 
-    /** An address and port as text; names are not looked up. */
-    static InetSocketAddress address(String where, String name, String text) {
+    /** Parses an IPv4 address and port; host names are rejected, since none are looked up. */
+    static InetSocketAddress parseAddress(String source, String name, String text) {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            if (colon > 0 && port >= 0 && port <= LAST_PORT && text.substring(0, colon).matches("[0-9.]+")) {
+            if (colon > 0 && port >= 0 && port <= MAX_PORT && text.substring(0, colon).matches("[0-9.]+")) {
                 return new InetSocketAddress(text.substring(0, colon), port);
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
-        throw new FormatException(where + ": '" + name + "' is no address and port: " + text);
+        throw new FormatException(source + ": '" + name + "' is not an address and port: " + text);
     }
 }
--- a/router/src/main/java/ledgewall/net/Transport.java
+++ b/router/src/main/java/ledgewall/net/Transport.java
@@ -17,70 +17,76 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** MINA's side: one I/O processor for what is accepted and what is connected; it only parses and queues. */
+/**
+ * The network transport on MINA: a single I/O processor for accepted and outgoing connections, whose thread only parses
+ * input and queues tasks for the event loop.
+ */
 final class Transport {
     private static final Logger LOG = LoggerFactory.getLogger(Transport.class);
-    private static final String ENDPOINT = "ledgewall.endpoint";
-    private static final int BACKLOG = 512;
-    private static final int READ_BUFFER = 2 * 1024;
-    private static final int LARGEST_READ_BUFFER = 16 * 1024;
+    private static final String ENDPOINT_ATTRIBUTE = "ledgewall.endpoint";
+    private static final int ACCEPT_BACKLOG = 512;
+    private static final int READ_BUFFER_BYTES = 2 * 1024;
+    private static final int MAX_READ_BUFFER_BYTES = 16 * 1024;
 
     private final Clock clock;
     private final EventLoop loop;
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(
+    private final ExecutorService ioExecutor = Executors.newSingleThreadExecutor(
         task -> new Thread(task, "ledgewall-io"));
-    private final DrainBeforeResetProcessor processor = new DrainBeforeResetProcessor(thread);
+    private final DrainBeforeResetProcessor processor = new DrainBeforeResetProcessor(ioExecutor);
     private final NioSocketConnector connector = new NioSocketConnector(processor);
-    /** Sockets that are open, whether the loop knows of them yet or still. */
-    private final AtomicInteger open = new AtomicInteger();
+    /** Sockets that are open, including those that the event loop does not know yet or has already given up. */
+    private final AtomicInteger openSockets = new AtomicInteger();
     private final BackpressureAcceptor acceptor;
-    private final AtomicBoolean shortTold = new AtomicBoolean();
-    private volatile Runnable whenShort = () -> { };
-
-    /** Accepts connections only while fewer sockets than {@code mostOpen} are open. */
-    Transport(Clock clock, EventLoop loop, Counters counters, int mostOpen) {
-        this.acceptor = new BackpressureAcceptor(processor, () -> open.get() < mostOpen, this::tellShort, nanos -> {
-            counters.add(Counters.Count.ACCEPT_PAUSES);
-            counters.add(Counters.Count.ACCEPT_PAUSED_MILLIS, Clock.toMillis(nanos));
-            LOG.debug("event=accept_resumed paused_ms={} sockets={} most={}", Clock.toMillis(nanos), open.get(), mostOpen);
-        });
+    private final AtomicBoolean acceptBlockedPending = new AtomicBoolean();
+    private volatile Runnable acceptBlockedTask = () -> { };
+
+    /** Accepts connections only while fewer than {@code maxOpenSockets} sockets are open. */
+    Transport(Clock clock, EventLoop loop, Counters counters, int maxOpenSockets) {
+        this.acceptor = new BackpressureAcceptor(processor, () -> openSockets.get() < maxOpenSockets,
+            this::notifyAcceptBlocked, nanos -> {
+                counters.add(Counters.Count.ACCEPT_PAUSES);
+                counters.add(Counters.Count.ACCEPT_PAUSED_MILLIS, Clock.toMillis(nanos));
+                LOG.debug("event=accept_resumed paused_ms={} sockets={} most={}", Clock.toMillis(nanos),
+                    openSockets.get(), maxOpenSockets);
+            });
         this.clock = clock;
         this.loop = loop;
         connector.setHandler(new Handler(null));
         configure(connector.getSessionConfig());
         configure(acceptor.getSessionConfig());
         acceptor.setReuseAddress(true);
-        acceptor.setBacklog(BACKLOG);
+        acceptor.setBacklog(ACCEPT_BACKLOG);
         acceptor.setCloseOnDeactivation(false);
     }
 
     private static void configure(IoSessionConfig config) {
-        config.setReadBufferSize(READ_BUFFER);
-        config.setMaxReadBufferSize(LARGEST_READ_BUFFER);
+        config.setReadBufferSize(READ_BUFFER_BYTES);
+        config.setMaxReadBufferSize(MAX_READ_BUFFER_BYTES);
         ((SocketSessionConfig) config).setTcpNoDelay(true);
     }
 
-    /** Says what is to be done while clients wait to be accepted; before connections are accepted. */
-    void whenShort(Runnable task) {
-        whenShort = task;
+    /** Sets the task to run while clients wait to be accepted; must be called before connections are accepted. */
+    void onAcceptBlocked(Runnable task) {
+        acceptBlockedTask = task;
     }
 
-    private void tellShort() {
-        if (shortTold.compareAndSet(false, true)) {
+    private void notifyAcceptBlocked() {
+        if (acceptBlockedPending.compareAndSet(false, true)) {
             loop.post(() -> {
-                shortTold.set(false);
-                whenShort.run();
+                acceptBlockedPending.set(false);
+                acceptBlockedTask.run();
             });
         }
     }
 
-    /** Accepts connections from now on; each gets an endpoint of its own. */
-    void listen(InetSocketAddress address, Supplier<Endpoint> endpoints) throws IOException {
-        acceptor.setHandler(new Handler(endpoints));
+    /** Starts to accept connections; each gets an endpoint of its own. */
+    void listen(InetSocketAddress address, Supplier<Endpoint> endpointFactory) throws IOException {
+        acceptor.setHandler(new Handler(endpointFactory));
         acceptor.bind(address);
     }
 
-    InetSocketAddress listening() {
+    /** The local address on which connections are accepted. */
+    InetSocketAddress boundAddress() {
         return acceptor.getLocalAddress();
     }
 
@@ -88,13 +94,13 @@
         acceptor.unbind();
     }
 
-    /** Begins a connection; {@code failed} is for the loop, if it does not come up. */
-    ConnectFuture connect(InetSocketAddress address, Endpoint endpoint, Runnable failed) {
+    /** Opens a connection; if that fails, {@code onFailure} runs on the event loop. */
+    ConnectFuture connect(InetSocketAddress address, Endpoint endpoint, Runnable onFailure) {
         ConnectFuture future = connector.connect(address,
-            (session, connecting) -> session.setAttribute(ENDPOINT, endpoint));
+            (session, connectFuture) -> session.setAttribute(ENDPOINT_ATTRIBUTE, endpoint));
         future.addListener(done -> {
             if (!((ConnectFuture) done).isConnected()) {
-                loop.post(failed);
+                loop.post(onFailure);
             }
         });
         return future;
@@ -104,77 +110,77 @@
         session.write(IoBuffer.wrap(bytes));
     }
 
-    /** Waits until all that has come by now is queued for the loop. */
-    void catchUp() {
-        processor.catchUp();
+    /** Waits until everything received so far has been read and queued for the event loop. */
+    void awaitPendingReads() {
+        processor.awaitPendingReads();
     }
 
-    /** Ends all connections and threads. */
+    /** Closes all connections and ends all threads. */
     void close() {
         acceptor.dispose(false);
         connector.dispose(false);
         processor.dispose();
-        thread.shutdown();
+        ioExecutor.shutdown();
     }
 
     private final class Handler extends IoHandlerAdapter {
-        private final Supplier<Endpoint> endpoints;
+        private final Supplier<Endpoint> endpointFactory;
 
-        private Handler(Supplier<Endpoint> endpoints) {
-            this.endpoints = endpoints;
+        private Handler(Supplier<Endpoint> endpointFactory) {
+            this.endpointFactory = endpointFactory;
         }
 
-        private Endpoint of(IoSession session) {
-            return (Endpoint) session.getAttribute(ENDPOINT);
+        private Endpoint endpointOf(IoSession session) {
+            return (Endpoint) session.getAttribute(ENDPOINT_ATTRIBUTE);
         }
 
         @Override
         public void sessionCreated(IoSession session) {
-            open.incrementAndGet();
-            if (endpoints != null) {
-                session.setAttribute(ENDPOINT, endpoints.get());
+            openSockets.incrementAndGet();
+            if (endpointFactory != null) {
+                session.setAttribute(ENDPOINT_ATTRIBUTE, endpointFactory.get());
             }
         }
 
         @Override
         public void sessionOpened(IoSession session) {
-            Endpoint endpoint = of(session);
+            Endpoint endpoint = endpointOf(session);
             loop.post(() -> endpoint.opened(session));
         }
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            loop.post(of(session).receive(((IoBuffer) message).buf(), clock.now(), session));
+            loop.post(endpointOf(session).receive(((IoBuffer) message).buf(), clock.now(), session));
         }
 
         @Override
         public void messageSent(IoSession session, Object message) {
-            Endpoint endpoint = of(session);
+            Endpoint endpoint = endpointOf(session);
             int bytes = ((IoBuffer) message).limit();
             loop.post(() -> endpoint.written(bytes));
         }
 
         @Override
         public void inputClosed(IoSession session) {
-            end(session);
+            notifyDisconnected(session);
             session.closeNow();
         }
 
         @Override
         public void sessionClosed(IoSession session) {
-            open.decrementAndGet();
-            end(session);
+            openSockets.decrementAndGet();
+            notifyDisconnected(session);
         }
 
         @Override
         public void exceptionCaught(IoSession session, Throwable cause) {
-            session.closeNow(); // broken connections are ordinary; how each ended is counted
+            session.closeNow(); // broken connections are expected; the outcome of each is counted
         }
 
-        private void end(IoSession session) {
-            Endpoint endpoint = of(session);
+        private void notifyDisconnected(IoSession session) {
+            Endpoint endpoint = endpointOf(session);
             long at = clock.now();
-            loop.post(() -> endpoint.ended(at));
+            loop.post(() -> endpoint.disconnected(at));
         }
     }
 }
