--- a/router/src/main/java/ledgewall/net/Members.java
+++ b/router/src/main/java/ledgewall/net/Members.java
@@ -94,7 +94,8 @@
             case GONE -> RoutingPolicy.Phase.GONE;
         };
         return new Listing(member.id(), member.cell(), zoneIndexes.indexOf(member.locality()),
-            kindIndexes.indexOf(member.flavor()), phase, member.size(), member.primary(), Clock.ofUnixMillis(member.upSinceMillis()));
+            kindIndexes.indexOf(member.flavor()), phase, member.size(), member.primary(),
+            Clock.ofUnixMillis(member.upSinceMillis()));
     }
 
     /** Drops a member that the policy has removed once its last connection is closed, unless a list names it again. */
--- /dev/null
+++ b/router/src/test/java/ledgewall/net/DrainTest.java
@@ -0,0 +1,101 @@
+package ledgewall.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.net.ConnectException;
+import java.net.InetSocketAddress;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import ledgewall.RoutingPolicy.Arrival;
+import ledgewall.standin.Client;
+import ledgewall.standin.ScriptedPolicy;
+import ledgewall.standin.StandInServer;
+import ledgewall.standin.Wire;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** A planned stop (drain) answers every request that was accepted. */
+@Timeout(60)
+class DrainTest {
+    private final RouterHarness harness = new RouterHarness();
+
+    @AfterEach
+    void close() throws IOException {
+        harness.close();
+    }
+
+    @Test
+    void drainClosesIdleClientsAndThenTheRouter() throws IOException, InterruptedException {
+        Router router = harness.start(ScriptedPolicy.idle());
+        Client idle = harness.client();
+        InetSocketAddress address = router.listening();
+        router.drain();
+        router.drain();
+        assertTrue(idle.atEnd());
+        router.awaitClosed();
+        assertThrows(ConnectException.class, () -> new Client(address));
+        assertTrue(router.counters().contains("clients=1"));
+    }
+
+    @Test
+    void drainAnswersRequestInFlightAndThenClosesItsConnection() throws IOException, InterruptedException {
+        CountDownLatch queryReceived = new CountDownLatch(1);
+        CountDownLatch answerAllowed = new CountDownLatch(1);
+        harness.host("m", StandInServer.host((connection, sql) -> {
+            queryReceived.countDown();
+            try {
+                assertTrue(answerAllowed.await(20, TimeUnit.SECONDS));
+            } catch (InterruptedException e) {
+                throw new IOException(e);
+            }
+            connection.write(Wire.row(new byte[] {5}), Wire.ready());
+        }));
+        Router router = harness.start(ScriptedPolicy.sendTo("m", 0));
+        Client client = harness.client();
+        client.send(RouterHarness.lookQuery("1"));
+        assertTrue(queryReceived.await(20, TimeUnit.SECONDS));
+        router.drain();
+        answerAllowed.countDown();
+        assertEquals("TDC", client.types());
+        assertTrue(client.atEnd());
+        router.awaitClosed();
+        assertEquals(1, router.counts().of(Counters.Count.SERVED));
+        assertEquals(0, router.counts().of(Counters.Count.LAPSED));
+    }
+
+    @Test
+    void drainingRouterStillServesExistingAndNewConnectionsForAWhile() throws IOException, InterruptedException {
+        harness.host("m", StandInServer.host((connection, sql) -> connection.write(Wire.row(new byte[] {5}), Wire.ready())));
+        Router router = harness.start(ScriptedPolicy.sendTo("m", 0));
+        Client existing = harness.client();
+        router.drain();
+        Client connectedWhileDraining = harness.client();
+        for (int i = 0; i < 3; i++) { // clients may have no other router to use, since those may be restarting too
+            existing.send(RouterHarness.lookQuery("old" + i));
+            assertEquals("TDC", existing.types());
+            connectedWhileDraining.send(RouterHarness.lookQuery("late" + i));
+            assertEquals("TDC", connectedWhileDraining.types());
+        }
+        assertTrue(existing.atEnd());
+        assertTrue(connectedWhileDraining.atEnd());
+        router.awaitClosed();
+        assertEquals(6, router.counts().of(Counters.Count.SERVED));
+    }
+
+    @Test
+    void requestUnansweredAtEndOfDrainFailsInsteadOfBeingLost() throws IOException, InterruptedException {
+        ScriptedPolicy policy = ScriptedPolicy.idle();
+        Router router = harness.start(policy);
+        Client client = harness.client();
+        client.send(RouterHarness.lookQuery("1"));
+        policy.next(Arrival.class);
+        router.drain();
+        assertEquals("08006", client.untilReady().get(0).field('C'));
+        router.awaitClosed();
+        assertTrue(client.atEnd());
+    }
+}
--- a/router/src/test/java/ledgewall/net/HostReportsTest.java
+++ b/router/src/test/java/ledgewall/net/HostReportsTest.java
@@ -15,68 +15,68 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class HostReportsTest {
-    private static final long NOW = 1_796_133_714_000_000_000L;
+    private static final long NOW_NANOS = 1_796_133_714_000_000_000L;
 
-    /** Read as milliseconds, a replica's position lay in 1970 and no bounded read ever went to a replica. */
+    /** When read as milliseconds, a replica's position was in 1970 and no bounded read was ever sent to a replica. */
     @Test
-    void aReportsPositionIsInUnixSeconds() {
-        Report report = HostReports.report("x0=1796133713.021,x1=0", NOW);
+    void reportPositionIsInUnixSeconds() {
+        Report report = HostReports.report("x0=1796133713.021,x1=0", NOW_NANOS);
         assertEquals(1_796_133_713_021_000_000L, report.position());
         assertEquals(Role.REPLICA, report.role());
     }
 
-    /** A host that has not reported yet says 0: evidence of long ago, which must not pass for today's. */
+    /** A host that has not reported yet sends 0: a position in the distant past, which must not be taken for a current one. */
     @Test
-    void aReportOfLongAgoIsNoMissingPosition() {
-        Report report = HostReports.report("x0=0.000,x1=0", NOW);
+    void positionZeroInReportIsDistantPastNotMissing() {
+        Report report = HostReports.report("x0=0.000,x1=0", NOW_NANOS);
         assertEquals(0, report.position());
         assertEquals(Role.REPLICA, report.role());
     }
 
     @Test
-    void aReportWithoutPositionOrRoleTellsNeither() {
-        Report report = HostReports.report("util=0.61, queue=4,novel=7,inflight=3", NOW);
+    void reportWithoutPositionOrRoleLeavesBothUnknown() {
+        Report report = HostReports.report("util=0.61, queue=4,novel=7,inflight=3", NOW_NANOS);
         assertEquals(RoutingPolicy.NONE, report.position());
         assertEquals(Role.UNKNOWN, report.role());
         assertEquals(0.61, report.utilisation());
         assertEquals(4, report.queued());
-        assertTrue(Double.isNaN(HostReports.report("x1=1", NOW).utilisation()));
-        assertNull(HostReports.report(" ", NOW));
+        assertTrue(Double.isNaN(HostReports.report("x1=1", NOW_NANOS).utilisation()));
+        assertNull(HostReports.report(" ", NOW_NANOS));
     }
 
-    /** Nonsense is no fact, and neither is what stands beside it. */
+    /** A report with one malformed value is rejected entirely. */
     @ParameterizedTest
     @ValueSource(strings = {"x0=noise,x1=1", "x0=-5,x1=1", "x0=NaN,x1=1", "x0=Infinity,x1=0", "x0=1e300,x1=1",
         "x0=1796133999.0,x1=1", "x0=1796133713.0,x1=7", "x1", "=1", "x0=1796133713.0,x1=1,", "\u0000\u0001"})
-    void aReportThatCannotBeReadTellsNothing(String text) {
-        assertNull(HostReports.report(text, NOW));
+    void malformedReportIsRejected(String text) {
+        assertNull(HostReports.report(text, NOW_NANOS));
     }
 
     @Test
-    void aCommitOfTheFutureIsNone() throws ProtocolException {
+    void answerPositionInTheFutureIsRejected() throws ProtocolException {
         Reply reply = new Reply();
         reply.accept(Wire.parameter("wal_time", "1796139999000"));
-        assertEquals(RoutingPolicy.NONE, HostReports.position(reply, NOW));
+        assertEquals(RoutingPolicy.NONE, HostReports.position(reply, NOW_NANOS));
     }
 
     @Test
-    void anAnswersCommitIsInUnixMilliseconds() throws ProtocolException {
+    void answerPositionIsInUnixMilliseconds() throws ProtocolException {
         Reply reply = new Reply();
         reply.accept(Wire.parameter("mode", "read-write"));
         reply.accept(Wire.parameter("wal_time", "1796133713021"));
-        assertEquals(1_796_133_713_021_000_000L, HostReports.position(reply, NOW));
+        assertEquals(1_796_133_713_021_000_000L, HostReports.position(reply, NOW_NANOS));
         assertEquals(Role.PRIMARY, HostReports.role(reply));
     }
 
     @Test
-    void anAnswerWithoutNotesTellsNothing() throws ProtocolException {
+    void answerWithoutParametersLeavesPositionAndRoleUnknown() throws ProtocolException {
         Reply reply = new Reply();
-        assertEquals(RoutingPolicy.NONE, HostReports.position(reply, NOW));
+        assertEquals(RoutingPolicy.NONE, HostReports.position(reply, NOW_NANOS));
         assertEquals(Role.UNKNOWN, HostReports.role(reply));
-        assertNull(HostReports.report(reply, NOW));
+        assertNull(HostReports.report(reply, NOW_NANOS));
         reply.accept(Wire.parameter("mode", "standby"));
         reply.accept(Wire.parameter("wal_time", "0"));
         assertEquals(Role.UNKNOWN, HostReports.role(reply));
-        assertEquals(RoutingPolicy.NONE, HostReports.position(reply, NOW));
+        assertEquals(RoutingPolicy.NONE, HostReports.position(reply, NOW_NANOS));
     }
 }
--- a/router/src/test/java/ledgewall/net/PeersTest.java
+++ b/router/src/test/java/ledgewall/net/PeersTest.java
@@ -17,18 +17,18 @@
 
 @Timeout(60)
 class PeersTest {
-    private static final int PATIENCE_MS = 20_000;
-    private final RouterHarness rig = new RouterHarness();
+    private static final int RECEIVE_TIMEOUT_MS = 20_000;
+    private final RouterHarness harness = new RouterHarness();
     private final ScriptedPolicy policy = ScriptedPolicy.idle();
 
     @AfterEach
     void close() throws IOException {
-        rig.close();
+        harness.close();
     }
 
-    private static DatagramSocket socket() throws IOException {
+    private static DatagramSocket openSocket() throws IOException {
         DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(RECEIVE_TIMEOUT_MS);
         return socket;
     }
 
@@ -43,23 +43,24 @@
     }
 
     @Test
-    void datagramsGoToOneOrToAllAndComeFromPeersAlone() throws IOException, InterruptedException {
-        try (DatagramSocket one = socket(); DatagramSocket everyone = socket(); DatagramSocket stranger = socket()) {
-            rig.peers("\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:1\",\"" + address(one)
-                + "\"],\"peers_all\":\"" + address(everyone) + "\",").start(policy);
+    void datagramsReachOneOrAllPeersAndAreAcceptedFromPeersOnly() throws IOException, InterruptedException {
+        try (DatagramSocket peer = openSocket(); DatagramSocket allPeers = openSocket();
+                DatagramSocket unknownSender = openSocket()) {
+            harness.peers("\"peer_listen\":\"127.0.0.1:0\",\"peers\":[\"127.0.0.1:1\",\"" + address(peer)
+                + "\"],\"peers_all\":\"" + address(allPeers) + "\",").start(policy);
             policy.command(new RoutingPolicy.Tell(1, new byte[] {1, 2}), new RoutingPolicy.Tell(7, new byte[1]),
                 new RoutingPolicy.Tell(1, new byte[257]), new RoutingPolicy.Tell(RoutingPolicy.NONE, new byte[] {3}));
-            assertArrayEquals(new byte[] {1, 2}, receive(one));
-            assertArrayEquals(new byte[] {3}, receive(everyone));
-            var router = rig.router().peersListening();
-            stranger.send(new DatagramPacket(new byte[] {9}, 1, router));
-            one.send(new DatagramPacket(new byte[257], 257, router));
-            one.send(new DatagramPacket(new byte[256], 256, router));
+            assertArrayEquals(new byte[] {1, 2}, receive(peer));
+            assertArrayEquals(new byte[] {3}, receive(allPeers));
+            var routerAddress = harness.router().peersListening();
+            unknownSender.send(new DatagramPacket(new byte[] {9}, 1, routerAddress));
+            peer.send(new DatagramPacket(new byte[257], 257, routerAddress));
+            peer.send(new DatagramPacket(new byte[256], 256, routerAddress));
             PeerMessage message = policy.next(PeerMessage.class);
             assertEquals(1, message.from());
             assertEquals(256, message.content().length);
-            assertEquals(4, rig.router().counts().of(Counters.Count.BAD_PEER_MESSAGES));
-            assertEquals(2, rig.router().counts().of(Counters.Count.PEER_MESSAGES_OUT));
+            assertEquals(4, harness.router().counts().of(Counters.Count.BAD_PEER_MESSAGES));
+            assertEquals(2, harness.router().counts().of(Counters.Count.PEER_MESSAGES_OUT));
         }
     }
 }
--- a/router/src/test/java/ledgewall/net/ProbesTest.java
+++ b/router/src/test/java/ledgewall/net/ProbeTest.java
@@ -22,31 +22,31 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 @Timeout(60)
-class ProbesTest {
-    private final RouterHarness rig = new RouterHarness();
+class ProbeTest {
+    private final RouterHarness harness = new RouterHarness();
     private final ScriptedPolicy policy = ScriptedPolicy.idle();
 
     @AfterEach
     void close() throws IOException {
-        rig.close();
+        harness.close();
     }
 
     private ProbeResult probe(StandInServer host) throws IOException, InterruptedException {
-        rig.host("m", host).start(policy);
+        harness.host("m", host).start(policy);
         policy.command(new RoutingPolicy.Probe("m"));
         return policy.next(ProbeResult.class);
     }
 
-    private static byte[] report(String text) {
+    private static byte[] reportRow(String text) {
         return Wire.row(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     @Test
-    void aReportIsAskedForOverOneKeptConnection() throws IOException, InterruptedException {
+    void probesRequestReportsOverOneConnection() throws IOException, InterruptedException {
         BlockingQueue<String> queries = new LinkedBlockingQueue<>();
         StandInServer host = StandInServer.host((connection, sql) -> {
             queries.add(sql);
-            connection.write(report("x0=1767225600.123,x1=1"), Wire.ready());
+            connection.write(reportRow("x0=1767225600.123,x1=1"), Wire.ready());
         });
         ProbeResult result = probe(host);
         assertEquals(Result.OK, result.result());
@@ -61,20 +61,21 @@
 
     @ParameterizedTest
     @CsvSource({"57P03,REJECTED", "53300,REJECTED", "42501,ERROR"})
-    void anErrorSaysHowTheMemberIs(String code, Result result) throws IOException, InterruptedException {
-        ProbeResult probe = probe(StandInServer.host((connection, sql) -> connection.write(Wire.error(code), Wire.ready())));
-        assertEquals(result, probe.result());
-        assertNull(probe.report());
+    void errorCodeDeterminesProbeResult(String code, Result result) throws IOException, InterruptedException {
+        ProbeResult probeResult = probe(StandInServer.host(
+            (connection, sql) -> connection.write(Wire.error(code), Wire.ready())));
+        assertEquals(result, probeResult.result());
+        assertNull(probeResult.report());
     }
 
     @Test
-    void silenceTimesOutAndTheConnectionIsNotUsedAgain() throws IOException, InterruptedException {
-        rig.connectTimeout(40);
+    void unansweredProbeTimesOutAndItsConnectionIsNotReused() throws IOException, InterruptedException {
+        harness.connectTimeoutMs(40);
         StandInServer host = StandInServer.host((connection, sql) -> {
             if (connection.number() == 1) {
                 connection.awaitEnd();
             }
-            connection.write(report("x1=0"), Wire.ready());
+            connection.write(reportRow("x1=0"), Wire.ready());
         });
         assertEquals(Result.TIMED_OUT, probe(host).result());
         policy.command(new RoutingPolicy.Probe("m"));
@@ -83,38 +84,38 @@
     }
 
     @Test
-    void aMemberThatIsNotThereIsNotConnected() throws IOException, InterruptedException {
+    void refusedConnectionIsReportedAsNotConnected() throws IOException, InterruptedException {
         StandInServer host = StandInServer.host((connection, sql) -> { });
         host.close();
         assertEquals(Result.NOT_CONNECTED, probe(host).result());
     }
 
     @Test
-    void disconnectClosesIdleConnectionsOfRequests() throws IOException, InterruptedException {
-        StandInServer host = StandInServer.host((connection, sql) -> connection.write(report("x1=0"), Wire.ready()));
-        ScriptedPolicy sends = ScriptedPolicy.sendTo("m", 0);
-        rig.host("m", host).start(sends);
-        rig.client().send(RouterHarness.look("1"));
-        sends.next(RoutingPolicy.Outcome.class);
-        sends.command(new RoutingPolicy.Disconnect("m"), new RoutingPolicy.Disconnect("unknown"),
+    void disconnectClosesIdleConnections() throws IOException, InterruptedException {
+        StandInServer host = StandInServer.host((connection, sql) -> connection.write(reportRow("x1=0"), Wire.ready()));
+        ScriptedPolicy sendingPolicy = ScriptedPolicy.sendTo("m", 0);
+        harness.host("m", host).start(sendingPolicy);
+        harness.client().send(RouterHarness.lookQuery("1"));
+        sendingPolicy.next(RoutingPolicy.Outcome.class);
+        sendingPolicy.command(new RoutingPolicy.Disconnect("m"), new RoutingPolicy.Disconnect("unknown"),
             new RoutingPolicy.Probe("unknown"), new RoutingPolicy.Note("noted"), new RoutingPolicy.Probe("m"));
-        sends.next(ProbeResult.class);
-        rig.client().send(RouterHarness.look("2"));
-        sends.next(RoutingPolicy.Outcome.class);
-        assertEquals(2, host.accepted()); // one closed, one for the probe and the read behind it
+        sendingPolicy.next(ProbeResult.class);
+        harness.client().send(RouterHarness.lookQuery("2"));
+        sendingPolicy.next(RoutingPolicy.Outcome.class);
+        assertEquals(2, host.accepted()); // one closed by Disconnect, one shared by the probe and the read after it
     }
 
-    /** A read follows a probe on its connection at once, and may meet a second copy of the probe's answer there. */
+    /** A read may reuse a probe's connection at once, and there may receive a duplicate of the probe's answer. */
     @Test
-    void aProbesAnswerNeverPassesForARequests() throws IOException, InterruptedException {
+    void duplicateProbeAnswerIsNotTakenForRequestAnswer() throws IOException, InterruptedException {
         StandInServer host = StandInServer.host((connection, sql) ->
-            connection.write(report("x0=1767225600.123,x1=1"), Wire.ready()));
-        ScriptedPolicy sends = ScriptedPolicy.sendTo("m", 0);
-        rig.host("m", host).start(sends);
-        sends.command(new RoutingPolicy.Probe("m"));
-        sends.next(ProbeResult.class);
-        rig.client().send(RouterHarness.look("1"));
-        assertEquals(Result.RESET, sends.next(RoutingPolicy.Outcome.class).result());
+            connection.write(reportRow("x0=1767225600.123,x1=1"), Wire.ready()));
+        ScriptedPolicy sendingPolicy = ScriptedPolicy.sendTo("m", 0);
+        harness.host("m", host).start(sendingPolicy);
+        sendingPolicy.command(new RoutingPolicy.Probe("m"));
+        sendingPolicy.next(ProbeResult.class);
+        harness.client().send(RouterHarness.lookQuery("1"));
+        assertEquals(Result.RESET, sendingPolicy.next(RoutingPolicy.Outcome.class).result());
         assertEquals(1, host.accepted());
     }
 }
--- a/router/src/test/java/ledgewall/net/PartsTest.java
+++ b/router/src/test/java/ledgewall/net/RouterComponentsTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The small parts that the router is made of. */
-class PartsTest {
+/** Unit tests of the router's clock, counters, descriptor budget, name indexes and event loop. */
+class RouterComponentsTest {
     @Test
-    void theClockIsAnchoredOnceAndFollowsTheMonotonicOne() {
+    void clockIsAnchoredOnceAndAdvancesWithMonotonicClock() {
         AtomicLong monotonic = new AtomicLong(-500);
         Clock clock = Clock.of(monotonic::get, 1_000_000);
         assertEquals(1_000_000, clock.now());
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void unixTimesAreTranslatedAndZeroStaysLongAgo() {
+    void unixTimesAreConvertedToNanosAndInvalidOnesToZero() {
         assertEquals(1_767_225_600_123_000_000L, Clock.ofUnixMillis(1_767_225_600_123.0));
         assertEquals(1_767_225_600_123_000_000L, Clock.ofUnixSeconds(1_767_225_600.123));
         assertEquals(0, Clock.ofUnixMillis(0));
@@ -39,44 +39,44 @@
     }
 
     @Test
-    void onlyWhatSurelyNeverRanEndsAsThat() {
+    void outcomesMapToNeverRanResultsExactlyIfRequestCannotHaveRun() {
         List<Result> neverRan = List.of(Result.NOT_CONNECTED, Result.REJECTED, Result.MISSED, Result.NEVER_SENT);
         List<AttemptOutcome> mayHaveRun = List.of(AttemptOutcome.SERVED, AttemptOutcome.BAD_STATEMENT, AttemptOutcome.HOST_ERROR,
             AttemptOutcome.BROKEN_AFTER_WRITTEN, AttemptOutcome.GARBLED,
             AttemptOutcome.TIMED_OUT, AttemptOutcome.GIVEN_UP);
-        for (AttemptOutcome ending : AttemptOutcome.values()) {
-            assertEquals(!mayHaveRun.contains(ending), neverRan.contains(ending.result()), ending.name());
+        for (AttemptOutcome outcome : AttemptOutcome.values()) {
+            assertEquals(!mayHaveRun.contains(outcome), neverRan.contains(outcome.result()), outcome.name());
         }
     }
 
     @Test
-    void namesBeyondTheListedGetStableIndexesAndABound() {
+    void unlistedNamesGetStableIndexesUpToALimit() {
         NameInterner names = new NameInterner(List.of("a", "b"));
-        assertEquals(1, names.index("b"));
-        assertEquals(2, names.index("x"));
-        assertEquals(3, names.index("y"));
-        assertEquals(2, names.index("x"));
+        assertEquals(1, names.indexOf("b"));
+        assertEquals(2, names.indexOf("x"));
+        assertEquals(3, names.indexOf("y"));
+        assertEquals(2, names.indexOf("x"));
         for (int i = 0; i < 10_000; i++) {
-            names.index("made-up-" + i);
+            names.indexOf("made-up-" + i);
         }
-        assertEquals(names.index("made-up-9998"), names.index("made-up-9999"));
-        assertEquals(3, names.index("y"));
+        assertEquals(names.indexOf("made-up-9998"), names.indexOf("made-up-9999"));
+        assertEquals(3, names.indexOf("y"));
     }
 
     @Test
-    void someDescriptorsAreKeptForProbesAndDiscovery() {
-        Descriptors descriptors = new Descriptors(32 + 16 + 2);
-        descriptors.take();
-        assertTrue(descriptors.roomForTraffic());
-        descriptors.take();
-        assertFalse(descriptors.roomForTraffic());
-        assertTrue(descriptors.room());
-        descriptors.release();
-        assertTrue(descriptors.roomForTraffic());
+    void someDescriptorsAreReservedForProbesAndDiscovery() {
+        DescriptorBudget budget = new DescriptorBudget(32 + 16 + 2);
+        budget.acquire();
+        assertTrue(budget.hasRoomForTraffic());
+        budget.acquire();
+        assertFalse(budget.hasRoomForTraffic());
+        assertTrue(budget.hasRoom());
+        budget.release();
+        assertTrue(budget.hasRoomForTraffic());
     }
 
     @Test
-    void countersPrintWhatHasCounted() {
+    void countersPrintNonZeroCountsAndAttemptOutcomes() {
         Counters counters = new Counters();
         counters.add(Counters.Count.REQUESTS, 3);
         assertEquals("requests=3", counters.toString());
@@ -84,10 +84,10 @@
         assertEquals("requests=3 | attempts ended: turned_away=1", counters.toString());
     }
 
-    /** After the process stood still, what came in time is read before time-outs are taken for due. */
+    /** After a stall of the process, input that arrived in time is handled before overdue timers run. */
     @Test
     @Timeout(60)
-    void aLateTurnReadsWhatHasComeBeforeItsTimers() throws InterruptedException {
+    void lateTurnHandlesPendingInputBeforeItsTimers() throws InterruptedException {
         AtomicLong time = new AtomicLong();
         Counters counters = new Counters();
         EventLoop loop = new EventLoop(Clock.of(time::get, 0), counters);
@@ -99,8 +99,8 @@
             return List.of();
         }, action -> { });
         loop.catchUpBy(() -> loop.post(() -> loop.tell(new Lapsed(1))));
-        loop.in(RouterHarness.MS, () -> loop.tell(new RoutingPolicy.TimerDue(7)));
-        time.set(500 * RouterHarness.MS);
+        loop.in(RouterHarness.NANOS_PER_MS, () -> loop.tell(new RoutingPolicy.TimerDue(7)));
+        time.set(500 * RouterHarness.NANOS_PER_MS);
         Thread thread = new Thread(loop);
         thread.start();
         assertTrue(done.await(20, TimeUnit.SECONDS));
@@ -111,10 +111,10 @@
         assertEquals(1, counters.of(Counters.Count.LATE_BATCHES));
     }
 
-    /** What is ready and the timers that are due make one batch, answers before timers. */
+    /** Ready tasks and due timers form one batch, tasks first. */
     @Test
     @Timeout(60)
-    void aTurnTakesAllThatIsReadyAndThenItsTimersInOneBatch() throws InterruptedException {
+    void turnHandlesReadyTasksThenTimersInOneBatch() throws InterruptedException {
         Counters counters = new Counters();
         EventLoop loop = new EventLoop(Clock.ofSystem(), counters);
         List<List<Event>> batches = new ArrayList<>();
@@ -128,10 +128,10 @@
         cancelled.cancel();
         loop.post(() -> loop.tell(new Lapsed(1)));
         loop.post(() -> {
-            throw new IllegalStateException("one task's fault");
+            throw new IllegalStateException("this task fails");
         });
         loop.post(() -> loop.tell(new Lapsed(2)));
-        loop.post(() -> loop.in(RouterHarness.MS, done::countDown));
+        loop.post(() -> loop.in(RouterHarness.NANOS_PER_MS, done::countDown));
         Thread thread = new Thread(loop);
         thread.start();
         assertTrue(done.await(20, TimeUnit.SECONDS));
@@ -143,11 +143,11 @@
     }
 
     @Test
-    void timersThatAreCalledOffTakeNoMemoryUntilTheirTime() {
+    void cancelledTimersAreRemovedBeforeTheyAreDue() {
         EventLoop loop = new EventLoop(Clock.ofSystem(), new Counters());
-        EventLoop.Timer kept = loop.in(RouterHarness.MS, () -> { });
+        EventLoop.Timer kept = loop.in(RouterHarness.NANOS_PER_MS, () -> { });
         for (int i = 0; i < 10_000; i++) {
-            loop.in(24 * 3_600_000L * RouterHarness.MS, () -> { }).cancel();
+            loop.in(24 * 3_600_000L * RouterHarness.NANOS_PER_MS, () -> { }).cancel();
         }
         assertTrue(loop.timers() < 1_000, "timers " + loop.timers());
         kept.cancel();
--- a/router/src/test/java/ledgewall/net/StartTest.java
+++ b/router/src/test/java/ledgewall/net/RouterConfigTest.java
@@ -20,12 +20,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 @Timeout(60)
-class StartTest {
-    private final RouterHarness rig = new RouterHarness();
+class RouterConfigTest {
+    private final RouterHarness harness = new RouterHarness();
 
     @AfterEach
     void close() throws IOException {
-        rig.close();
+        harness.close();
     }
 
     private static RouterConfig parse(String json) throws IOException {
@@ -33,68 +33,68 @@
     }
 
     @Test
-    void aConfigurationIsReadWhole() throws IOException {
-        rig.member("m", "127.0.0.1:9").peers("\"peer_listen\":\"127.0.0.4:7946\",\"peers\":[\"127.0.0.5:1\","
+    void allFieldsOfConfigurationAreRead() throws IOException {
+        harness.member("m", "127.0.0.1:9").peers("\"peer_listen\":\"127.0.0.4:7946\",\"peers\":[\"127.0.0.5:1\","
             + "\"127.0.0.6:2\"],\"peers_all\":\"127.0.0.7:3\",");
-        RouterConfig config = parse(rig.config());
+        RouterConfig config = parse(harness.config());
         assertEquals("r1", config.name());
         assertEquals(Long.parseUnsignedLong("8c1f30d27a5be964", 16), config.seed());
-        assertEquals(1_024, config.sockets());
+        assertEquals(1_024, config.descriptorLimit());
         assertEquals(new InetSocketAddress("127.0.0.6", 2), config.peers().get(1));
-        assertEquals(new InetSocketAddress("127.0.0.7", 3), config.peersAll());
-        assertEquals(41, config.known().revision());
+        assertEquals(new InetSocketAddress("127.0.0.7", 3), config.allPeersAddress());
+        assertEquals(41, config.knownList().revision());
         assertEquals(3, config.settings().classes().size());
-        assertEquals(10_000 * RouterHarness.MS, config.transport().connectTimeout());
-        assertEquals(900 * RouterHarness.MS, config.transport().longestDeadline());
+        assertEquals(10_000 * RouterHarness.NANOS_PER_MS, config.transport().connectTimeout());
+        assertEquals(900 * RouterHarness.NANOS_PER_MS, config.transport().longestDeadline());
         assertTrue(config.transport().reports());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "[]", "{", "{}", "{\"settings\":{}}"})
-    void aBrokenConfigurationIsTold(String json) {
+    void malformedConfigurationIsRejected(String json) {
         assertThrows(FormatException.class, () -> parse(json));
     }
 
     @ParameterizedTest
     @CsvSource({"127.0.0.1:0,127.0.0.1", "8c1f30d27a5be964,xyz", "\"revision\":41,\"revision\":\"a\"", "Ready,Lost"})
-    void aBrokenFieldIsTold(String from, String to) throws IOException {
-        String json = rig.member("m", "127.0.0.1:9").config().replace(from, to);
+    void malformedFieldIsRejected(String from, String to) throws IOException {
+        String json = harness.member("m", "127.0.0.1:9").config().replace(from, to);
         assertThrows(FormatException.class, () -> parse(json));
     }
 
-    /** What shares of the fleet's sums are counted by is refused with its key, at the start and at a reload alike. */
+    /** Startup and reload both reject invalid numbers, such as those that determine a router's share of fleet-wide limits. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
         "\"peersTotal\":1,||peersTotal", "\"peersTotal\":1|\"peersTotal\":0|peersTotal",
         "\"peersTotal\":1|\"peersTotal\":-3|peersTotal", "\"rank\":0,||rank", "\"rank\":0|\"rank\":1|rank",
         "\"rank\":0|\"rank\":-1|rank", "\"sockets\":1024|\"sockets\":0|sockets",
         "\"maxAttempts\":3|\"maxAttempts\":-1|maxAttempts", "\"connIdleNs\":|\"connIdleNs\":-|connIdleNs"})
-    void aNumberThatCannotBeIsToldWithItsKey(String from, String to, String key) throws IOException {
-        String good = rig.config();
-        String json = good.replaceFirst(from, to == null ? "" : to);
-        assertNotEquals(good, json);
-        FormatException told = assertThrows(FormatException.class, () -> parse(json));
-        assertTrue(told.getMessage().contains("'" + key + "'"), told.getMessage());
+    void numberOutOfRangeIsRejectedWithItsKey(String from, String to, String key) throws IOException {
+        String validJson = harness.config();
+        String json = validJson.replaceFirst(from, to == null ? "" : to);
+        assertNotEquals(validJson, json);
+        FormatException error = assertThrows(FormatException.class, () -> parse(json));
+        assertTrue(error.getMessage().contains("'" + key + "'"), error.getMessage());
     }
 
     @Test
-    void morePeersThanRoutersAreTold() throws IOException {
-        String json = rig.peers("\"peers\":[\"127.0.0.5:1\",\"127.0.0.6:2\"],").config()
+    void peerCountThatDiffersFromPeersTotalIsRejected() throws IOException {
+        String json = harness.peers("\"peers\":[\"127.0.0.5:1\",\"127.0.0.6:2\"],").config()
             .replace("\"peersTotal\":2", "\"peersTotal\":3");
         assertTrue(assertThrows(FormatException.class, () -> parse(json)).getMessage().contains("'peersTotal'"));
     }
 
     @Test
-    void anAddressThatIsTakenIsTold() throws IOException {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            rig.listen("127.0.0.1:" + taken.getLocalPort());
-            assertThrows(IOException.class, () -> rig.start(ScriptedPolicy.idle()));
+    void listenAddressInUseFailsTheStart() throws IOException {
+        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            harness.listen("127.0.0.1:" + occupied.getLocalPort());
+            assertThrows(IOException.class, () -> harness.start(ScriptedPolicy.idle()));
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"127.0.0.1", ":5", "127.0.0.1:", "127.0.0.1:65536", "127.0.0.1:-1", "some.host:5", "a b:5"})
-    void whatIsNoAddressAndPortIsTold(String text) {
-        assertThrows(FormatException.class, () -> RouterConfig.address("here", "listen", text));
+    void malformedAddressIsRejected(String text) {
+        assertThrows(FormatException.class, () -> RouterConfig.parseAddress("here", "listen", text));
     }
 }
--- a/router/src/test/java/ledgewall/net/RouterHarness.java
+++ b/router/src/test/java/ledgewall/net/RouterHarness.java
@@ -11,45 +11,46 @@
 import ledgewall.standin.StandInServer;
 import ledgewall.standin.Wire;
 
-/** A router with a scripted policy between stand-ins, closed together at the end of a test. */
+/** Runs a router with a scripted policy between test servers and clients; closes all of them at the end of a test. */
 final class RouterHarness implements Closeable {
-    static final long MS = 1_000_000L;
-    /** Waits for watches and says nothing. */
+    static final long NANOS_PER_MS = 1_000_000L;
+    /** Accepts requests and never answers. */
     private static final StandInServer.Script SILENT = StandInServer.Connection::awaitEnd;
 
-    private final List<Closeable> parts = new ArrayList<>();
-    private final List<String> members = new ArrayList<>();
+    private final List<Closeable> closeables = new ArrayList<>();
+    private final List<String> memberEntries = new ArrayList<>();
     private StandInServer discovery;
     private long connectTimeoutMs = 10_000;
-    private long idleMs = 60_000;
-    private int sockets = 1_024;
-    private String push = "push";
-    private String peers = "";
+    private long idleTimeoutMs = 60_000;
+    private int descriptorLimit = 1_024;
+    private String discoveryMode = "push";
+    /** Configuration fields about peers, as JSON with a trailing comma. */
+    private String peersJson = "";
     private String listen = "127.0.0.1:0";
-    private boolean parallel = true;
-    /** A script tells calls apart by their order, so only tests of checks have them. */
+    private boolean parallelAttempts = true;
+    /** Without checks by default: scripts of discovery rely on the order of its requests. */
     private MemberListWatcher.Pace pace = MemberListWatcher.Pace.UNCHECKED;
     private Classifier classifier;
     private Router router;
 
     RouterHarness host(String id, StandInServer host) {
-        parts.add(host::close);
+        closeables.add(host::close);
         return member(id, host.address());
     }
 
     RouterHarness member(String id, String address) {
-        members.add(entry(id, address, "Ready", 0));
+        memberEntries.add(memberJson(id, address, "Ready", 0));
         return this;
     }
 
-    static String entry(String id, String address, String phase, long up) {
+    static String memberJson(String id, String address, String phase, long upSinceMillis) {
         return "{\"id\":\"" + id + "\",\"host_port\":\"" + address + "\",\"locality\":\"south\",\"flavor\":\"small\","
-            + "\"cell\":2,\"phase\":\"" + phase + "\",\"size\":1.0,\"up_since_ms\":" + up + "}";
+            + "\"cell\":2,\"phase\":\"" + phase + "\",\"size\":1.0,\"up_since_ms\":" + upSinceMillis + "}";
     }
 
     RouterHarness discovery(StandInServer.Script script) throws IOException {
         discovery = new StandInServer(script);
-        parts.add(discovery::close);
+        closeables.add(discovery::close);
         return this;
     }
 
@@ -57,38 +58,38 @@
         return discovery.address();
     }
 
-    RouterHarness connectTimeout(long millis) {
+    RouterHarness connectTimeoutMs(long millis) {
         connectTimeoutMs = millis;
         return this;
     }
 
-    RouterHarness idle(long millis) {
-        idleMs = millis;
+    RouterHarness idleTimeoutMs(long millis) {
+        idleTimeoutMs = millis;
         return this;
     }
 
-    RouterHarness sockets(int count) {
-        sockets = count;
+    RouterHarness descriptorLimit(int count) {
+        descriptorLimit = count;
         return this;
     }
 
-    RouterHarness listsOnlyWhenAsked() {
-        push = "ask";
+    RouterHarness withListsOnRequest() {
+        discoveryMode = "ask";
         return this;
     }
 
-    RouterHarness classifier(Classifier says) {
-        classifier = says;
+    RouterHarness classifier(Classifier requestClassifier) {
+        classifier = requestClassifier;
         return this;
     }
 
-    RouterHarness checked() {
+    RouterHarness withListChecks() {
         pace = MemberListWatcher.Pace.USUAL;
         return this;
     }
 
-    RouterHarness oneAttemptAtATime() {
-        parallel = false;
+    RouterHarness withoutParallelAttempts() {
+        parallelAttempts = false;
         return this;
     }
 
@@ -98,7 +99,7 @@
     }
 
     RouterHarness peers(String json) {
-        peers = json;
+        peersJson = json;
         return this;
     }
 
@@ -107,13 +108,13 @@
             discovery(SILENT);
         }
         return "{\"name\":\"r1\",\"listen\":\"" + listen + "\",\"discovery\":\"" + discovery.address() + "\","
-            + "\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + sockets + "}," + peers
-            + "\"known\":{\"revision\":41,\"complete\":true,\"members\":[" + String.join(",", members) + "]},"
-            + "\"settings\":{\"peersTotal\":" + routers() + ",\"rank\":0,"
-            + "\"areas\":[\"north\",\"south\"],\"kinds\":[\"small\"],\"discovery\":\"" + push + "\","
-            + "\"ceilings\":{\"maxAttempts\":3,\"parallelTries\":" + parallel + ",\"cancel\":true,\"probing\":true,"
-            + "\"peers\":" + !peers.isEmpty() + ",\"connIdleNs\":" + idleMs * MS + ",\"connectTimeoutNs\":"
-            + connectTimeoutMs * MS + "},"
+            + "\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":" + descriptorLimit + "}," + peersJson
+            + "\"known\":{\"revision\":41,\"complete\":true,\"members\":[" + String.join(",", memberEntries) + "]},"
+            + "\"settings\":{\"peersTotal\":" + routerCount() + ",\"rank\":0,"
+            + "\"areas\":[\"north\",\"south\"],\"kinds\":[\"small\"],\"discovery\":\"" + discoveryMode + "\","
+            + "\"ceilings\":{\"maxAttempts\":3,\"parallelTries\":" + parallelAttempts + ",\"cancel\":true,\"probing\":true,"
+            + "\"peers\":" + !peersJson.isEmpty() + ",\"connIdleNs\":" + idleTimeoutMs * NANOS_PER_MS + ",\"connectTimeoutNs\":"
+            + connectTimeoutMs * NANOS_PER_MS + "},"
             + "\"report\":{\"how\":\"probe\",\"fields\":[\"x0\",\"x1\"]},\"rules\":{\"answerSlackNs\":20000000},"
             + "\"domain\":{\"needsByClass\":[\"any\",\"write\",\"session\"],\"tokens\":\"carried\"},"
             + "\"tenants\":[{\"name\":\"acme\"},{\"name\":\"zeta\"}],"
@@ -122,16 +123,16 @@
             + "{\"name\":\"own\",\"aimNs\":300000000,\"deadlineNs\":900000000,\"effect\":\"idempotent\"}]}}";
     }
 
-    /** As many as 'peers' names. */
-    private int routers() {
-        String[] array = peers.split("\\[");
-        return array.length < 2 ? 1 : array[1].split("]")[0].split(",").length;
+    /** The number of addresses in 'peers', or 1. */
+    private int routerCount() {
+        String[] peersArray = peersJson.split("\\[");
+        return peersArray.length < 2 ? 1 : peersArray[1].split("]")[0].split(",").length;
     }
 
     Router start(RoutingPolicy policy) throws IOException {
         RouterConfig config = RouterConfig.parse(config().getBytes(StandardCharsets.UTF_8), "config");
         router = Router.start(config, (settings, seed) -> policy, pace, classifier);
-        parts.add(0, router::close);
+        closeables.add(0, router::close);
         return router;
     }
 
@@ -139,31 +140,33 @@
         return router;
     }
 
+    /** Connects a client that has completed the start-up handshake. */
     Client client() throws IOException {
         Client client = Client.started(router.listening());
-        parts.add(0, client::close);
+        closeables.add(0, client::close);
         return client;
     }
 
-    Client stranger() throws IOException {
+    /** Connects a client that has not sent anything. */
+    Client rawClient() throws IOException {
         Client client = new Client(router.listening());
-        parts.add(0, client::close);
+        closeables.add(0, client::close);
         return client;
     }
 
-    static String sql(String fields) {
-        return "/* " + fields + " */ SELECT data FROM facts WHERE code = 'k1'";
+    static String sql(String commentFields) {
+        return "/* " + commentFields + " */ SELECT data FROM facts WHERE code = 'k1'";
     }
 
-    /** A query of class look that waits long enough for any machine. */
-    static byte[] look(String id) {
+    /** A query of class look with a deadline of 60 s, enough for any machine. */
+    static byte[] lookQuery(String id) {
         return Wire.query(sql("id=" + id + ",c=look,t=acme,d=60000,cluster=2"));
     }
 
     @Override
     public void close() throws IOException {
-        for (Closeable part : parts) {
-            part.close();
+        for (Closeable closeable : closeables) {
+            closeable.close();
         }
     }
 }
