--- a/router/src/test/java/ledgewall/net/RouterComponentsTest.java
+++ b/router/src/test/java/ledgewall/net/RouterComponentsTest.java
@@ -99,8 +99,8 @@
             return List.of();
         }, action -> { });
         loop.catchUpBy(() -> loop.post(() -> loop.tell(new Lapsed(1))));
-        loop.in(RouterHarness.NANOS_PER_MS, () -> loop.tell(new RoutingPolicy.TimerDue(7)));
-        time.set(500 * RouterHarness.NANOS_PER_MS);
+        loop.in(RouterHarness.MS, () -> loop.tell(new RoutingPolicy.TimerDue(7)));
+        time.set(500 * RouterHarness.MS);
         Thread thread = new Thread(loop);
         thread.start();
         assertTrue(done.await(20, TimeUnit.SECONDS));
@@ -131,7 +131,7 @@
             throw new IllegalStateException("this task fails");
         });
         loop.post(() -> loop.tell(new Lapsed(2)));
-        loop.post(() -> loop.in(RouterHarness.NANOS_PER_MS, done::countDown));
+        loop.post(() -> loop.in(RouterHarness.MS, done::countDown));
         Thread thread = new Thread(loop);
         thread.start();
         assertTrue(done.await(20, TimeUnit.SECONDS));
@@ -145,9 +145,9 @@
     @Test
     void cancelledTimersAreRemovedBeforeTheyAreDue() {
         EventLoop loop = new EventLoop(Clock.ofSystem(), new Counters());
-        EventLoop.Timer kept = loop.in(RouterHarness.NANOS_PER_MS, () -> { });
+        EventLoop.Timer kept = loop.in(RouterHarness.MS, () -> { });
         for (int i = 0; i < 10_000; i++) {
-            loop.in(24 * 3_600_000L * RouterHarness.NANOS_PER_MS, () -> { }).cancel();
+            loop.in(24 * 3_600_000L * RouterHarness.MS, () -> { }).cancel();
         }
         assertTrue(loop.timers() < 1_000, "timers " + loop.timers());
         kept.cancel();
--- a/router/src/test/java/ledgewall/net/RouterConfigTest.java
+++ b/router/src/test/java/ledgewall/net/RouterConfigTest.java
@@ -44,8 +44,8 @@
         assertEquals(new InetSocketAddress("127.0.0.7", 3), config.allPeersAddress());
         assertEquals(41, config.knownList().revision());
         assertEquals(3, config.settings().classes().size());
-        assertEquals(10_000 * RouterHarness.NANOS_PER_MS, config.transport().connectTimeout());
-        assertEquals(900 * RouterHarness.NANOS_PER_MS, config.transport().longestDeadline());
+        assertEquals(10_000 * RouterHarness.MS, config.transport().connectTimeout());
+        assertEquals(900 * RouterHarness.MS, config.transport().longestDeadline());
         assertTrue(config.transport().reports());
     }
 
--- a/router/src/test/java/ledgewall/net/RouterHarness.java
+++ b/router/src/test/java/ledgewall/net/RouterHarness.java
@@ -13,7 +13,8 @@
 
 /** Runs a router with a scripted policy between test servers and clients; closes all of them at the end of a test. */
 final class RouterHarness implements Closeable {
-    static final long NANOS_PER_MS = 1_000_000L;
+    /** One millisecond in nanoseconds. */
+    static final long MS = 1_000_000L;
     /** Accepts requests and never answers. */
     private static final StandInServer.Script SILENT = StandInServer.Connection::awaitEnd;
 
@@ -113,8 +114,8 @@
             + "\"settings\":{\"peersTotal\":" + routerCount() + ",\"rank\":0,"
             + "\"areas\":[\"north\",\"south\"],\"kinds\":[\"small\"],\"discovery\":\"" + discoveryMode + "\","
             + "\"ceilings\":{\"maxAttempts\":3,\"parallelTries\":" + parallelAttempts + ",\"cancel\":true,\"probing\":true,"
-            + "\"peers\":" + !peersJson.isEmpty() + ",\"connIdleNs\":" + idleTimeoutMs * NANOS_PER_MS + ",\"connectTimeoutNs\":"
-            + connectTimeoutMs * NANOS_PER_MS + "},"
+            + "\"peers\":" + !peersJson.isEmpty() + ",\"connIdleNs\":" + idleTimeoutMs * MS + ",\"connectTimeoutNs\":"
+            + connectTimeoutMs * MS + "},"
             + "\"report\":{\"how\":\"probe\",\"fields\":[\"x0\",\"x1\"]},\"rules\":{\"answerSlackNs\":20000000},"
             + "\"domain\":{\"needsByClass\":[\"any\",\"write\",\"session\"],\"tokens\":\"carried\"},"
             + "\"tenants\":[{\"name\":\"acme\"},{\"name\":\"zeta\"}],"
