--- a/router/src/main/java/ledgewall/net/DescriptorBudget.java
+++ b/router/src/main/java/ledgewall/net/DescriptorBudget.java
@@ -10,14 +10,16 @@
     /** One part in this many is reserved for probes, discovery and connections that are being opened or closed. */
     private static final int RESERVE_DIVISOR = 12;
     private static final int MIN_RESERVE = 16;
+    /** One part in this many may be idle connections to members. */
     private static final int IDLE_HOST_DIVISOR = 4;
     private static final int MIN_IDLE_HOST_CONNECTIONS = 8;
-    /** The documented protocol lets clients hold one descriptor in this many for their requests. */
+    /** One part in this many is the share that the documented protocol allows to client connections with requests. */
     private static final int SOFT_CLIENT_DIVISOR = 3;
 
     private final int descriptorLimit;
     private final int maxConnections;
     private final int reserve;
+    /** Descriptors in use by connections. */
     private int held;
 
     DescriptorBudget(int descriptorLimit) {
--- a/router/src/main/java/ledgewall/net/Exchange.java
+++ b/router/src/main/java/ledgewall/net/Exchange.java
@@ -18,6 +18,6 @@
         return false;
     }
 
-    /** Called once at the end; {@code reply} holds the part of the answer that was received. */
+    /** Called when the exchange is over; {@code reply} holds the part of the answer that was received. */
     void ended(AttemptOutcome outcome, Reply reply, long at);
 }
--- a/router/src/main/java/ledgewall/net/HostConnection.java
+++ b/router/src/main/java/ledgewall/net/HostConnection.java
@@ -34,7 +34,9 @@
     private State state = State.CONNECTING;
     private Exchange exchange;
     private Reply reply = new Reply();
+    /** Whether the current query has been written to its last byte. */
     private boolean queryWritten;
+    /** Whether the exchange has been told that the answer's row is complete. */
     private boolean servedNotified;
     /** The answer to the last probe on this connection, or null. */
     private byte[] lastProbeAnswer;
--- a/router/src/main/java/ledgewall/net/HostReports.java
+++ b/router/src/main/java/ledgewall/net/HostReports.java
@@ -56,6 +56,7 @@
             }
             values.put(pair.substring(0, separator).trim(), value);
         }
+        // x1 is 1 on a primary and 0 on a replica; x0 is the position.
         double primaryFlag = values.getOrDefault("x1", Double.NaN);
         // Positions in reports are Unix seconds. 0 is a valid position in the distant past, so the report is that old too.
         double positionSeconds = values.getOrDefault("x0", Double.NaN);
--- a/router/src/main/java/ledgewall/net/Transport.java
+++ b/router/src/main/java/ledgewall/net/Transport.java
@@ -37,6 +37,7 @@
     /** Sockets that are open, including those that the event loop does not know yet or has already given up. */
     private final AtomicInteger openSockets = new AtomicInteger();
     private final BackpressureAcceptor acceptor;
+    /** Whether {@link #acceptBlockedTask} is queued for the event loop and has not run yet. */
     private final AtomicBoolean acceptBlockedPending = new AtomicBoolean();
     private volatile Runnable acceptBlockedTask = () -> { };
 
