--- a/router/src/main/java/ledgewall/net/HostConnection.java
+++ b/router/src/main/java/ledgewall/net/HostConnection.java
@@ -106,7 +106,7 @@
             frameReader.feed(bytes, received::add);
         } catch (ProtocolException e) {
             return () -> {
-                processFrames(received, at);
+                process(received, at);
                 failOnProtocolError(at);
             };
         }
@@ -114,7 +114,7 @@
         return () -> {
             boolean unsolicited = state == State.BUSY && !queryWritten; // received before the query was fully written
             if (!unsolicited) {
-                processFrames(received, at);
+                process(received, at);
             }
             if (unsolicited || bufferedBytes > 0 && state == State.IDLE) {
                 // data beyond the previous answer: what follows could be mistaken for the answer to another request
@@ -123,17 +123,17 @@
         };
     }
 
-    private void processFrames(List<Frame> received, long at) {
+    private void process(List<Frame> received, long at) {
         try {
             for (Frame frame : received) {
-                processFrame(frame, at);
+                process(frame, at);
             }
         } catch (ProtocolException e) {
             failOnProtocolError(at);
         }
     }
 
-    private void processFrame(Frame frame, long at) throws ProtocolException {
+    private void process(Frame frame, long at) throws ProtocolException {
         switch (state) {
             case STARTUP -> processStartup(frame, at);
             case BUSY -> processReply(frame, at);
--- a/router/src/main/java/ledgewall/net/RouterConfig.java
+++ b/router/src/main/java/ledgewall/net/RouterConfig.java
@@ -52,13 +52,13 @@
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new FormatException(source + ": no JSON object");
             }
-            return fromFields(Fields.read(parser, source));
+            return of(Fields.read(parser, source));
         } catch (JsonProcessingException e) {
             throw new FormatException(source + ": no JSON: " + e.getOriginalMessage());
         }
     }
 
-    private static RouterConfig fromFields(Fields fields) {
+    private static RouterConfig of(Fields fields) {
         if (!fields.has("settings")) {
             throw new FormatException(fields.where() + ": lacks 'settings'");
         }
@@ -67,12 +67,12 @@
             : new ListUpdate(0, true, List.of());
         List<InetSocketAddress> peers = fields.elements("peers").stream()
             .map(peer -> parseAddress(fields.where(), "peers", peer.toString())).toList();
-        checkFleetSize(settings, peers.size());
-        checkMinimum(1, fields.object("limits"), "sockets", DEFAULT_DESCRIPTOR_LIMIT);
+        validateFleetSize(settings, peers.size());
+        validateMinimum(1, fields.object("limits"), "sockets", DEFAULT_DESCRIPTOR_LIMIT);
         Fields ceilings = settings.object("ceilings");
-        checkMinimum(1, ceilings, "maxAttempts", 1);
-        checkMinimum(0, ceilings, "connectTimeoutNs", 0);
-        checkMinimum(0, ceilings, "connIdleNs", 0);
+        validateMinimum(1, ceilings, "maxAttempts", 1);
+        validateMinimum(0, ceilings, "connectTimeoutNs", 0);
+        validateMinimum(0, ceilings, "connIdleNs", 0);
         return new RouterConfig(
             fields.text("name", "router"), requiredAddress(fields, "listen"), requiredAddress(fields, "discovery"),
             seed(fields), (int) fields.object("limits").integer("sockets", DEFAULT_DESCRIPTOR_LIMIT),
@@ -82,7 +82,7 @@
     }
 
     /** Checks the numbers that determine each router's share of fleet-wide limits; a missing one is an error too. */
-    private static void checkFleetSize(Fields settings, int peers) {
+    private static void validateFleetSize(Fields settings, int peers) {
         long routers = settings.integer("peersTotal");
         long rank = settings.integer("rank");
         if (routers < 1 || routers > Integer.MAX_VALUE) {
@@ -96,7 +96,7 @@
         }
     }
 
-    private static void checkMinimum(long minimum, Fields fields, String name, long defaultValue) {
+    private static void validateMinimum(long minimum, Fields fields, String name, long defaultValue) {
         long value = fields.integer(name, defaultValue);
         if (value < minimum) {
             throw new FormatException(fields.where() + ": '" + name + "' must be " + minimum + " or more, not " + value);
