--- a/cli/src/main/java/ledgewall/cli/Ledgewall.java
+++ b/cli/src/main/java/ledgewall/cli/Ledgewall.java
@@ -131,7 +131,7 @@
                     if (file.toString().endsWith(".json")) {
                         settings = RouterConfig.read(file);
                         out.println(file + ": ok, " + settings.vocabulary().classes().size() + " classes, "
-                            + settings.known().members().size() + " members known");
+                            + settings.knownList().members().size() + " members known");
                     } else {
                         RulesFile rules = RulesFile.read(file, RulesCommand.classes(settings));
                         rules.table().warnings().forEach(warning -> out.println(file + ": warning: " + warning));
--- a/router/src/main/java/ledgewall/net/Attempt.java
+++ b/router/src/main/java/ledgewall/net/Attempt.java
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void begun(long at) {
+    public void started(long at) {
         // the time of an attempt counts from its sending, connecting included
     }
 
@@ -100,7 +100,7 @@
         if (ended) {
             return;
         }
-        AttemptOutcome last = connection != null && connection.isAnswered() ? connection.endingInHand() : ending;
+        AttemptOutcome last = connection != null && connection.isAnswered() ? connection.answerOutcome() : ending;
         Reply reply = connection == null ? new Reply() : connection.reply();
         if (connection != null) {
             connection.close();
--- a/router/src/main/java/ledgewall/net/ClientConnection.java
+++ b/router/src/main/java/ledgewall/net/ClientConnection.java
@@ -423,7 +423,7 @@
     }
 
     @Override
-    public void ended(long at) {
+    public void disconnected(long at) {
         gone();
     }
 
--- a/router/src/main/java/ledgewall/net/RequestDispatcher.java
+++ b/router/src/main/java/ledgewall/net/RequestDispatcher.java
@@ -76,11 +76,11 @@
 
     @Override
     public ClientConnection.Admission admit(ClientConnection connection) {
-        if (clients.size() >= wiring.descriptors().forRequests()) {
+        if (clients.size() >= wiring.descriptors().softClientLimit()) {
             closeAClient();
         }
-        boolean full = clients.size() >= wiring.descriptors().forClients();
-        boolean room = full ? closeAClient() : wiring.descriptors().roomForTraffic() || makeRoom();
+        boolean full = clients.size() >= wiring.descriptors().clientLimit();
+        boolean room = full ? closeAClient() : wiring.descriptors().hasRoomForTraffic() || makeRoom();
         if (!room) {
             wiring.counters().add(Counters.Count.CLIENTS_TURNED_AWAY);
             LOG.debug("event=client_turned_away full={} clients={} held={}", full, clients.size(), wiring.descriptors().held());
@@ -88,7 +88,7 @@
         if (full && !room) {
             return ClientConnection.Admission.CLOSED;
         }
-        wiring.descriptors().take();
+        wiring.descriptors().acquire();
         wiring.counters().add(Counters.Count.CLIENTS);
         clients.add(connection);
         silent.add(connection);
@@ -131,7 +131,7 @@
 
     /** Clients wait to be accepted, and too many sockets are open: what is of least use is closed. */
     void makeRoomForClients() {
-        if (!wiring.descriptors().roomForTraffic()) {
+        if (!wiring.descriptors().hasRoomForTraffic()) {
             makeRoom();
         }
     }
@@ -160,10 +160,10 @@
         for (ClientConnection connection : List.copyOf(clients)) {
             connection.endIfStuck(now);
         }
-        while (clients.size() > wiring.descriptors().forRequests() && closeAClient()) {
+        while (clients.size() > wiring.descriptors().softClientLimit() && closeAClient()) {
             continue; // until they fit, or the others are all in use
         }
-        while (!wiring.descriptors().roomForTraffic() && makeRoom()) {
+        while (!wiring.descriptors().hasRoomForTraffic() && makeRoom()) {
             continue; // until there is room for the next, or all are in use
         }
         Iterator<Long> ends = ids.values().iterator();
@@ -292,19 +292,19 @@
         int index = classes.getOrDefault(request.statement().className(), 0);
         boolean repeatable = settings.classes().get(index).effect() == RoutingPolicy.Effect.IDEMPOTENT;
         Attempt attempt = new Attempt(request, send.member(), now, timeout, repeatable, this);
-        HostPool host = members.host(send.member());
+        HostPool host = members.pool(send.member());
         boolean second = request.hasOpenAttempt() && !settings.limits().parallelTries();
         request.attempts().add(attempt);
         wiring.counters().add(Counters.Count.ATTEMPTS);
         if (request.isOver() || timeout <= 0 || second || host == null
                 || request.attempts().size() > settings.limits().maxAttempts()) {
             attempt.ended(AttemptOutcome.NEVER_SENT, new Reply(), now);
-        } else if (!host.hasIdleFor(attempt) && !wiring.descriptors().roomForTraffic() && !makeRoom()) {
+        } else if (!host.hasIdleFor(attempt) && !wiring.descriptors().hasRoomForTraffic() && !makeRoom()) {
             attempt.ended(AttemptOutcome.NO_DESCRIPTOR, new Reply(), now);
         } else {
             EventLoop.Timer timer = wiring.loop().in(timeout,
                 () -> attempt.giveUp(AttemptOutcome.TIMED_OUT, wiring.loop().now()));
-            attempt.carriedBy(host.run(attempt), timer);
+            attempt.carriedBy(host.execute(attempt), timer);
         }
     }
 
--- a/router/src/main/java/ledgewall/net/Router.java
+++ b/router/src/main/java/ledgewall/net/Router.java
@@ -41,17 +41,17 @@
 
     private Router(RouterConfig config, RoutingPolicy.Factory factory, MemberListWatcher.Pace pace, Classifier classifier) {
         this.config = config;
-        Descriptors descriptors = new Descriptors(config.sockets());
-        this.transport = new Transport(clock, loop, counters, descriptors.forAccepting());
+        DescriptorBudget descriptors = new DescriptorBudget(config.descriptorLimit());
+        this.transport = new Transport(clock, loop, counters, descriptors.acceptLimit());
         this.wiring = new Wiring(clock, loop, transport, descriptors, counters, new BufferedBytes(),
-            new IdleConnections(counters, descriptors.forIdleHosts(), config.transport().connIdle()),
+            new IdleConnections(counters, descriptors.idleHostLimit(), config.transport().connIdle()),
             config.transport().connectTimeout());
         this.members = new Members(wiring, config.vocabulary());
         this.desk = new RequestDispatcher(wiring, config, members, classifier);
         this.discovery = new Discovery(wiring, config, members, pace);
         this.peers = new Peers(wiring, config);
-        loop.catchUpBy(transport::catchUp);
-        transport.whenShort(desk::makeRoomForClients);
+        loop.catchUpBy(transport::awaitPendingReads);
+        transport.onAcceptBlocked(desk::makeRoomForClients);
         loop.decideBy(factory.create(config.settings(), config.seed()), this::carryOut);
     }
 
@@ -81,10 +81,10 @@
         if (config.settings().limits().peers() && config.peerListen() != null) {
             peers.open();
         }
-        Members.check(config.known());
+        Members.validate(config.knownList());
         CompletableFuture<Void> ready = new CompletableFuture<>();
         loop.post(() -> {
-            members.learn(config.known(), ListKind.REMEMBERED);
+            members.applyList(config.knownList(), ListKind.REMEMBERED);
             discovery.start();
             sweep();
             loop.post(() -> ready.complete(null)); // the turn after the one that decides on the known list
@@ -94,16 +94,16 @@
         ready.join();
         transport.listen(config.listen(), () -> new ClientConnection(wiring, desk));
         LOG.info("{} listens on {}, {} members known, {} descriptors at most, router {} of {}", config.name(), listening(),
-            config.known().members().size(), config.sockets(), config.settings().rank(), config.settings().routers());
+            config.knownList().members().size(), config.descriptorLimit(), config.settings().rank(), config.settings().routers());
     }
 
     /** Where clients connect. */
     public InetSocketAddress listening() {
-        return transport.listening();
+        return transport.boundAddress();
     }
 
     InetSocketAddress peersListening() {
-        return peers.listening();
+        return peers.boundAddress();
     }
 
     /** Everything counted so far, on one line. */
@@ -144,7 +144,7 @@
         } else if (action instanceof RoutingPolicy.Forget forget) {
             members.forget(forget.member());
         } else if (action instanceof RoutingPolicy.Tell tell) {
-            peers.tell(tell);
+            peers.send(tell);
         } else if (action instanceof RoutingPolicy.Note note) {
             LOG.info("policy: {}", note.text());
         } else {
@@ -153,14 +153,14 @@
     }
 
     private void probe(String member) {
-        HostPool host = members.host(member);
+        HostPool host = members.pool(member);
         if (host != null) {
             new Probe(wiring, member, config.transport().reports()).start(host);
         }
     }
 
     private void disconnect(String member) {
-        HostPool host = members.host(member);
+        HostPool host = members.pool(member);
         if (host != null) {
             host.closeIdle();
         }
@@ -179,15 +179,15 @@
     public void reload(RouterConfig changed) {
         loop.post(() -> {
             counters.add(Counters.Count.RELOADS);
-            discovery.moveTo(changed.discovery());
-            RouterConfig same = config.withDiscovery(changed);
+            discovery.changeAddress(changed.discovery());
+            RouterConfig same = config.withReloadable(changed);
             if (!same.equals(changed)) {
                 LOG.warn("{}: the new configuration changes more than 'discovery': the rest needs a restart", config.name());
             }
             config = same;
             LOG.info("{}: {}", config.name(), counters);
             LOG.info("{}: {} descriptors held, longest turn {} ms, {}, members {}", config.name(), wiring.descriptors().held(),
-                Clock.toMillis(loop.longestTurn()), desk.view(), members.view());
+                Clock.toMillis(loop.longestTurn()), desk.view(), members.describeConnections());
         });
     }
 
--- a/router/src/test/java/ledgewall/net/ClientsTest.java
+++ b/router/src/test/java/ledgewall/net/ClientsTest.java
@@ -57,7 +57,7 @@
     @Test
     void startupAndFirstQueryMayComeInOneSegment() throws IOException {
         echo();
-        Client client = rig.stranger();
+        Client client = rig.rawClient();
         client.send(Wire.startup("user", "portal", "database", "crm"), Wire.query(""));
         String welcome = client.types();
         assertEquals('R', welcome.charAt(0));
@@ -68,8 +68,8 @@
     @Test
     void aWholeConversationMayComeByteByByte() throws IOException {
         echo();
-        Client client = rig.stranger();
-        for (byte b : Wire.join(Wire.startup("user", "u"), RouterHarness.look("7"))) {
+        Client client = rig.rawClient();
+        for (byte b : Wire.join(Wire.startup("user", "u"), RouterHarness.lookQuery("7"))) {
             client.send(new byte[] {b});
         }
         client.untilReady();
@@ -106,7 +106,7 @@
         ScriptedPolicy policy = ScriptedPolicy.idle();
         rig.start(policy);
         Client client = rig.client();
-        client.send(RouterHarness.look("1"), Wire.query("nonsense"), RouterHarness.look("2"), Wire.query(""));
+        client.send(RouterHarness.lookQuery("1"), Wire.query("nonsense"), RouterHarness.lookQuery("2"), Wire.query(""));
         long first = policy.next(Arrival.class).request();
         long second = policy.next(Arrival.class).request();
         policy.command(new RoutingPolicy.Refuse(second, 0), new RoutingPolicy.Fail(first));
@@ -122,7 +122,7 @@
         Client client = rig.client();
         byte[][] queries = new byte[200][];
         for (int i = 0; i < queries.length; i++) {
-            queries[i] = RouterHarness.look("" + i);
+            queries[i] = RouterHarness.lookQuery("" + i);
         }
         client.send(queries);
         for (int i = 0; i < queries.length; i++) {
@@ -135,14 +135,14 @@
         ScriptedPolicy policy = ScriptedPolicy.idle();
         rig.start(policy);
         Client client = rig.client();
-        client.send(RouterHarness.look("1"));
+        client.send(RouterHarness.lookQuery("1"));
         long request = policy.next(Arrival.class).request();
         policy.command(new RoutingPolicy.Refuse(request, 250 * RouterHarness.MS), new RoutingPolicy.Fail(request),
             new RoutingPolicy.Refuse(request, 0));
         Message refusal = client.untilReady().get(0);
         assertEquals("53300", refusal.field('C'));
         assertEquals("250", refusal.field('D'));
-        client.send(RouterHarness.look("2"));
+        client.send(RouterHarness.lookQuery("2"));
         policy.command(new RoutingPolicy.Refuse(policy.next(Arrival.class).request(), 0));
         assertNull(client.untilReady().get(0).field('D'));
         assertEquals(2, rig.router().counts().of(Counters.Count.REFUSED));
@@ -177,7 +177,7 @@
     void whatIsNoRequestGetsAnOrdinaryError(String sql) throws IOException {
         echo();
         Client client = rig.client();
-        client.send(Wire.query(sql), RouterHarness.look("5"));
+        client.send(Wire.query(sql), RouterHarness.lookQuery("5"));
         Message error = client.untilReady().get(0);
         assertEquals("42601", error.field('C'));
         assertEquals("5", value(client.untilReady()));
@@ -186,12 +186,12 @@
     @Test
     void encryptionIsDeclinedAndTheConnectionGoesOn() throws IOException {
         echo();
-        Client client = rig.stranger();
+        Client client = rig.rawClient();
         client.send(Wire.packet(80877103));
         assertEquals('N', client.readByte());
         client.send(Wire.packet(80877104));
         assertEquals('N', client.readByte());
-        client.send(Wire.startup("user", "u"), RouterHarness.look("3"));
+        client.send(Wire.startup("user", "u"), RouterHarness.lookQuery("3"));
         client.untilReady();
         assertEquals("3", value(client.untilReady()));
     }
@@ -199,7 +199,7 @@
     @Test
     void encryptionIsNotDeclinedWithoutEnd() throws IOException {
         echo();
-        Client client = rig.stranger();
+        Client client = rig.rawClient();
         client.send(Wire.packet(80877103), Wire.packet(80877104), Wire.packet(80877103));
         assertEquals('N', client.readByte());
         assertEquals('N', client.readByte());
@@ -210,7 +210,7 @@
     @Test
     void aNewerMinorVersionIsNegotiated() throws IOException {
         echo();
-        Client client = rig.stranger();
+        Client client = rig.rawClient();
         byte[] startup = Wire.startup("user", "u");
         startup[7] = 2;
         client.send(startup);
@@ -223,8 +223,8 @@
         echo();
         Client client = rig.client();
         client.send(Wire.message('P', Wire.text(""), Wire.text("SELECT 1"), Wire.int16(0)), Wire.message('B', new byte[8]),
-            Wire.message('H'), RouterHarness.look("skipped"), Wire.message('E', new byte[5]), Wire.message('S'),
-            RouterHarness.look("8"));
+            Wire.message('H'), RouterHarness.lookQuery("skipped"), Wire.message('E', new byte[5]), Wire.message('S'),
+            RouterHarness.lookQuery("8"));
         List<Message> answer = client.untilReady();
         assertEquals(1, answer.size());
         assertEquals("0A000", answer.get(0).field('C'));
@@ -236,7 +236,7 @@
     void brokenSpeechIsAnsweredAndEndsItsConnectionAlone(String what) throws IOException {
         echo();
         Client other = rig.client();
-        Client client = what.contains("version") || what.contains("startup") ? rig.stranger() : rig.client();
+        Client client = what.contains("version") || what.contains("startup") ? rig.rawClient() : rig.client();
         client.send(switch (what) {
             case "length" -> Wire.join(new byte[] {'Q'}, Wire.int32(2));
             case "type" -> Wire.message('~');
@@ -249,7 +249,7 @@
         assertEquals("FATAL", fatal.field('S'));
         assertEquals("08P01", fatal.field('C'));
         assertTrue(client.atEnd());
-        other.send(RouterHarness.look("4"));
+        other.send(RouterHarness.lookQuery("4"));
         assertEquals("4", value(other.untilReady()));
     }
 
@@ -258,7 +258,7 @@
         ScriptedPolicy policy = ScriptedPolicy.idle();
         rig.start(policy);
         Client client = rig.client();
-        client.send(RouterHarness.look("1"), Wire.message('~'));
+        client.send(RouterHarness.lookQuery("1"), Wire.message('~'));
         assertEquals("08006", client.untilReady().get(0).field('C'));
         assertEquals("08P01", client.read().field('C'));
         assertTrue(client.atEnd());
@@ -268,7 +268,7 @@
     @Test
     void aCancelRequestIsClosed() throws IOException {
         echo();
-        Client client = rig.stranger();
+        Client client = rig.rawClient();
         client.send(Wire.int32(16), Wire.int32(80877102), Wire.int32(0), Wire.int32(0));
         assertTrue(client.atEnd());
     }
@@ -276,14 +276,14 @@
     @Test
     void aConversationCutAtAnyByteLeavesNothingBehind() throws IOException, InterruptedException {
         echo();
-        byte[] all = Wire.join(Wire.startup("user", "u"), RouterHarness.look("1"));
+        byte[] all = Wire.join(Wire.startup("user", "u"), RouterHarness.lookQuery("1"));
         for (int cut = 0; cut < all.length; cut++) {
             try (Client client = new Client(rig.router().listening())) {
                 client.send(Arrays.copyOf(all, cut));
             }
         }
         Client client = rig.client();
-        client.send(RouterHarness.look("2"));
+        client.send(RouterHarness.lookQuery("2"));
         assertEquals("2", value(client.untilReady()));
         assertEquals(1, rig.router().counts().of(Counters.Count.REQUESTS));
     }
@@ -302,7 +302,7 @@
             }
         }
         Client client = rig.client();
-        client.send(RouterHarness.look("6"));
+        client.send(RouterHarness.lookQuery("6"));
         assertEquals("6", value(client.untilReady()));
     }
 
@@ -312,7 +312,7 @@
 
     @Test
     void atTheLimitNewClientsAreClosedAndAttemptsEndUnsent() throws IOException, InterruptedException {
-        rig.sockets(32 + 16 + 1 + 3); // the process's own, those kept back, the watch, two clients, one attempt
+        rig.descriptorLimit(32 + 16 + 1 + 3); // the process's own, those kept back, the watch, two clients, one attempt
         CountDownLatch release = new CountDownLatch(1);
         ScriptedPolicy policy = new ScriptedPolicy(event ->
             event instanceof Arrival arrival ? List.of(new RoutingPolicy.Send(arrival.request(), "m", 0))
@@ -325,11 +325,11 @@
         rig.start(policy);
         Client first = rig.client();
         Client second = rig.client();
-        assertTrue(rig.stranger().atEnd());
+        assertTrue(rig.rawClient().atEnd());
         assertEquals(1, rig.router().counts().of(Counters.Count.CLIENTS_TURNED_AWAY));
-        first.send(RouterHarness.look("1"));
+        first.send(RouterHarness.lookQuery("1"));
         policy.next(Arrival.class);
-        second.send(RouterHarness.look("2"));
+        second.send(RouterHarness.lookQuery("2"));
         assertEquals("E", second.types());
         assertEquals(RoutingPolicy.Result.REJECTED, policy.next(Outcome.class).result());
         release.countDown();
@@ -343,14 +343,14 @@
         rig.host("m", StandInServer.host((connection, sql) -> connection.write(Wire.row(new byte[1]), Wire.ready())));
         rig.start(policy);
         Client owner = rig.client();
-        owner.send(RouterHarness.look("1"));
+        owner.send(RouterHarness.lookQuery("1"));
         long request = policy.next(Arrival.class).request();
         Client thief = rig.client();
-        thief.send(RouterHarness.look("1"));
+        thief.send(RouterHarness.lookQuery("1"));
         assertEquals("42601", thief.untilReady().get(0).field('C'));
         policy.command(new RoutingPolicy.Send(request, "m", 0));
         assertEquals("TDC", owner.types());
-        thief.send(RouterHarness.look("1"));
+        thief.send(RouterHarness.lookQuery("1"));
         assertEquals("42601", thief.untilReady().get(0).field('C'));
     }
 
@@ -359,11 +359,11 @@
         ScriptedPolicy policy = ScriptedPolicy.idle();
         rig.start(policy);
         Client first = rig.client();
-        first.send(RouterHarness.look("1"));
+        first.send(RouterHarness.lookQuery("1"));
         policy.next(Arrival.class);
         first.close();
         policy.next(Lapsed.class);
-        rig.client().send(RouterHarness.look("1"));
+        rig.client().send(RouterHarness.lookQuery("1"));
         assertEquals(2, policy.next(Arrival.class).request());
     }
 
@@ -399,9 +399,9 @@
     void whoeverSaysNothingWholeIsEndedInTime(String what) throws IOException {
         echo();
         long before = System.nanoTime();
-        Client client = rig.stranger();
+        Client client = rig.rawClient();
         byte[] startup = Wire.startup("user", "u");
-        byte[] query = RouterHarness.look("1");
+        byte[] query = RouterHarness.lookQuery("1");
         client.send(switch (what) {
             case "nothing" -> new byte[0];
             case "half a startup" -> Arrays.copyOf(startup, 6);
@@ -422,10 +422,10 @@
     /** Far more than there are descriptors for, all silent: the next usual client is served all the same. */
     @Test
     void silentClientsGiveWayToOneThatAsks() throws IOException {
-        rig.sockets(32 + 16 + 1 + 20);
+        rig.descriptorLimit(32 + 16 + 1 + 20);
         echo();
         for (int i = 0; i < 300; i++) {
-            rig.stranger();
+            rig.rawClient();
         }
         assertEquals("1", value(untilServed("1")));
         assertTrue(rig.router().counts().of(Counters.Count.SILENT_CLIENTS) > 0);
@@ -434,7 +434,7 @@
     /** Clients that ask once and keep their connection for good: the longest idle gives way, not the next to come. */
     @Test
     void clientsLongIdleGiveWayToNewOnes() throws IOException {
-        rig.sockets(32 + 16 + 2 + 10); // eight clients at most
+        rig.descriptorLimit(32 + 16 + 2 + 10); // eight clients at most
         echo();
         for (int i = 0; i < 14; i++) {
             assertEquals("TDC", untilServed("" + i).stream().map(m -> "" + m.type()).reduce("", String::concat));
@@ -445,11 +445,11 @@
     /** Clients may hold a third of the descriptors for requests: beyond that the longest idle gives way before any is short. */
     @Test
     void idleClientsBeyondAThirdOfTheDescriptorsGiveWayToThoseThatCome() throws IOException {
-        rig.sockets(120);
+        rig.descriptorLimit(120);
         echo();
         for (int i = 0; i < 46; i++) {
             Client client = rig.client();
-            client.send(RouterHarness.look("" + i));
+            client.send(RouterHarness.lookQuery("" + i));
             assertEquals("" + i, value(client.untilReady()));
         }
         while (!rig.router().sizes().contains("clients 40,")) {
@@ -462,9 +462,9 @@
     /** Comes again as soon as it is turned away, as usual clients do; stays once it is served. */
     private List<Message> untilServed(String id) throws IOException {
         while (true) {
-            Client client = rig.stranger();
+            Client client = rig.rawClient();
             try {
-                client.send(Wire.startup("user", "u"), RouterHarness.look(id));
+                client.send(Wire.startup("user", "u"), RouterHarness.lookQuery(id));
                 Message first = client.read();
                 if (first != null) {
                     client.untilReady();
@@ -486,11 +486,11 @@
         rig.start(policy);
         Client slow = rig.client();
         byte[][] queries = new byte[800][];
-        Arrays.setAll(queries, i -> RouterHarness.look("" + i));
+        Arrays.setAll(queries, i -> RouterHarness.lookQuery("" + i));
         slow.send(queries);
         Client client = rig.client();
         for (int i = 0; i < 20; i++) {
-            client.send(RouterHarness.look("x" + i));
+            client.send(RouterHarness.lookQuery("x" + i));
             byte[] body = client.untilReady().get(1).body();
             assertArrayEquals(large, Arrays.copyOfRange(body, 6, body.length));
         }
@@ -520,7 +520,7 @@
         ScriptedPolicy policy = ScriptedPolicy.idle();
         rig.start(policy);
         Client small = rig.client();
-        small.send(RouterHarness.look("small"));
+        small.send(RouterHarness.lookQuery("small"));
         byte[][] queries = new byte[120][];
         Arrays.setAll(queries, i -> Wire.query(
             RouterHarness.sql("id=large" + i + ",c=look,d=60000,cluster=2") + " -- " + "x".repeat(150_000)));
--- a/router/src/test/java/ledgewall/net/ForgettingTest.java
+++ b/router/src/test/java/ledgewall/net/ForgettingTest.java
@@ -42,7 +42,7 @@
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.UTF_8));
             for (int i = 0; i < MEMBERS; i++) {
                 chunk(connection, "{\"revision\":" + (42 + i) + ",\"complete\":false,\"members\":[{\"id\":\"m" + (i - 1)
-                    + "\",\"phase\":\"Gone\"}," + RouterHarness.entry("m" + i, host.address(), "Ready", 0) + "]}\n");
+                    + "\",\"phase\":\"Gone\"}," + RouterHarness.memberJson("m" + i, host.address(), "Ready", 0) + "]}\n");
             }
             replaced.countDown();
             connection.awaitEnd();
--- a/router/src/test/java/ledgewall/net/GivingWayTest.java
+++ b/router/src/test/java/ledgewall/net/GivingWayTest.java
@@ -24,7 +24,7 @@
     private final Counters counters = new Counters();
     private final EventLoop loop = new EventLoop(clock, counters);
     private final Transport transport = new Transport(clock, loop, counters, 100);
-    private final Wiring wiring = new Wiring(clock, loop, transport, new Descriptors(100), counters, new BufferedBytes(),
+    private final Wiring wiring = new Wiring(clock, loop, transport, new DescriptorBudget(100), counters, new BufferedBytes(),
         new IdleConnections(counters, 100, 0), 0);
     private final List<ClientConnection.Slot> taken = new ArrayList<>();
     private final IoSession session = new DummySession();
@@ -89,7 +89,7 @@
 
     @Test
     void aRequestThatWasReadIsAnsweredBeforeItsConnectionGivesWay() {
-        Runnable read = read(RouterHarness.look("1"));
+        Runnable read = read(RouterHarness.lookQuery("1"));
         connection.closeUnlessAnswering();
         assertFalse(left);
         read.run();
@@ -101,8 +101,8 @@
 
     @Test
     void aDrainTakesWhatWasReadBeforeItToo() {
-        Runnable first = read(RouterHarness.look("1"));
-        Runnable second = read(RouterHarness.look("2"));
+        Runnable first = read(RouterHarness.lookQuery("1"));
+        Runnable second = read(RouterHarness.lookQuery("2"));
         connection.closeAfterAnswers();
         first.run();
         taken.get(0).fill(Wire.row(new byte[] {1}));
--- a/router/src/test/java/ledgewall/net/OutcomesTest.java
+++ b/router/src/test/java/ledgewall/net/OutcomesTest.java
@@ -54,7 +54,7 @@
     private Outcome outcome(RouterHarness with, long timeout) throws IOException, InterruptedException {
         ScriptedPolicy policy = ScriptedPolicy.sendTo("m", timeout);
         with.start(policy);
-        with.client().send(RouterHarness.look("1"));
+        with.client().send(RouterHarness.lookQuery("1"));
         return policy.next(Outcome.class);
     }
 
@@ -70,7 +70,7 @@
             Wire.ready())));
         rig.start(policy);
         Client client = rig.client();
-        client.send(RouterHarness.look("1"));
+        client.send(RouterHarness.lookQuery("1"));
         List<Message> answer = client.untilReady();
         assertEquals("TDC", answer.stream().map(m -> "" + m.type()).reduce("", String::concat));
         assertArrayEquals(Wire.join(Wire.int16(1), Wire.int32(VALUE.length), VALUE), answer.get(1).body());
@@ -103,7 +103,7 @@
 
     @Test
     void aConnectionThatNeverComesUpNeverRan() throws IOException, InterruptedException {
-        rig.connectTimeout(50).host("m", new StandInServer(StandInServer.Connection::awaitEnd));
+        rig.connectTimeoutMs(50).host("m", new StandInServer(StandInServer.Connection::awaitEnd));
         assertEquals(Result.NOT_CONNECTED, outcome(rig, 0).result());
         assertEquals(1, rig.router().counts().of(AttemptOutcome.CONNECT_TIMED_OUT));
     }
@@ -122,7 +122,7 @@
             } catch (SocketTimeoutException e) {
                 // the queue is full
             }
-            rig.connectTimeout(50).member("m", "127.0.0.1:" + silent.getLocalPort());
+            rig.connectTimeoutMs(50).member("m", "127.0.0.1:" + silent.getLocalPort());
             assertEquals(Result.NOT_CONNECTED, outcome(rig, 0).result());
             assertEquals(1, rig.router().counts().of(AttemptOutcome.CONNECT_TIMED_OUT));
             for (Socket socket : queued) {
@@ -190,7 +190,7 @@
         rig.start(policy);
         Client client = rig.client();
         for (int round = 0; round < 100; round++) {
-            client.send(RouterHarness.look("" + round));
+            client.send(RouterHarness.lookQuery("" + round));
             assertEquals("TDC", client.types(), "round " + round);
             assertEquals(Result.OK, policy.next(Outcome.class).result());
         }
@@ -236,7 +236,7 @@
         rig.host("m", StandInServer.host((connection, sql) -> connection.write(Wire.error(code), Wire.ready())));
         rig.start(policy);
         Client client = rig.client();
-        client.send(RouterHarness.look("1"));
+        client.send(RouterHarness.lookQuery("1"));
         assertEquals("42601", client.untilReady().get(0).field('C'));
         assertTrue(policy.next(Outcome.class).complete());
         assertEquals(1, rig.router().counts().of(AttemptOutcome.BAD_STATEMENT));
@@ -282,7 +282,7 @@
         rig.start(policy);
         Client client = rig.client();
         for (int round = 100; round < 160; round++) {
-            client.send(RouterHarness.look("" + round));
+            client.send(RouterHarness.lookQuery("" + round));
             byte[] body = client.untilReady().get(1).body();
             assertEquals("" + round, new String(body, 6, body.length - 6, java.nio.charset.StandardCharsets.US_ASCII));
         }
@@ -325,7 +325,7 @@
         }));
         rig.start(policy);
         Client client = rig.client();
-        client.send(RouterHarness.look("1"));
+        client.send(RouterHarness.lookQuery("1"));
         long request = policy.next(Arrival.class).request();
         assertTrue(asked.await(20, TimeUnit.SECONDS));
         policy.command(new RoutingPolicy.Cancel(request, 0), new RoutingPolicy.Cancel(request, 0),
@@ -348,7 +348,7 @@
         })).host("m", StandInServer.host((connection, sql) -> connection.write(Wire.row(VALUE), Wire.ready())));
         rig.start(policy);
         Client client = rig.client();
-        client.send(RouterHarness.look("1"));
+        client.send(RouterHarness.lookQuery("1"));
         assertEquals("TDC", client.types());
         Outcome first = policy.next(Outcome.class);
         assertEquals("m", first.member());
@@ -376,10 +376,10 @@
                 new RoutingPolicy.Send(arrival.request(), "m", 0), new RoutingPolicy.Fail(arrival.request()),
                 new RoutingPolicy.Send(arrival.request(), "m", 0), new RoutingPolicy.Send(99, "m", 0))
             : List.of());
-        rig.oneAttemptAtATime().host("m", StandInServer.host((connection, sql) ->
+        rig.withoutParallelAttempts().host("m", StandInServer.host((connection, sql) ->
             connection.write(Wire.row(VALUE), Wire.ready())));
         rig.start(policy);
-        rig.client().send(RouterHarness.look("1"));
+        rig.client().send(RouterHarness.lookQuery("1"));
         int neverSent = 0;
         for (int i = 0; i < 5; i++) {
             Outcome outcome = policy.next(Outcome.class);
@@ -401,7 +401,7 @@
         }));
         rig.start(policy);
         Client client = rig.client();
-        client.send(RouterHarness.look("1"));
+        client.send(RouterHarness.lookQuery("1"));
         assertTrue(asked.await(20, TimeUnit.SECONDS));
         client.close();
         assertEquals(policy.next(Lapsed.class).request(), 1);
@@ -430,13 +430,13 @@
         rig.host("m", host).start(policy);
         Client one = rig.client();
         Client two = rig.client();
-        one.send(RouterHarness.look("a1"));
-        two.send(RouterHarness.look("a2"));
+        one.send(RouterHarness.lookQuery("a1"));
+        two.send(RouterHarness.lookQuery("a2"));
         assertEquals("TDC", one.types());
         assertEquals("TDC", two.types());
         used.clear();
         for (int i = 0; i < 4; i++) {
-            one.send(RouterHarness.look("b" + i));
+            one.send(RouterHarness.lookQuery("b" + i));
             assertEquals("TDC", one.types());
         }
         assertTrue(host.accepted() <= 3, "one more at most, for the first that follows at once");
@@ -454,12 +454,12 @@
             ended.countDown();
         });
         ScriptedPolicy policy = ScriptedPolicy.sendTo("m", 0);
-        rig.idle(100).host("m", host).start(policy);
+        rig.idleTimeoutMs(100).host("m", host).start(policy);
         Client client = rig.client();
-        client.send(RouterHarness.look("1"));
+        client.send(RouterHarness.lookQuery("1"));
         assertEquals("TDC", client.types());
         assertTrue(ended.await(20, TimeUnit.SECONDS));
-        client.send(RouterHarness.look("2"));
+        client.send(RouterHarness.lookQuery("2"));
         assertEquals("TDC", client.types());
         assertNotEquals(1, host.accepted());
     }
@@ -477,7 +477,7 @@
         rig.host("m", host).start(policy);
         Client client = rig.client();
         for (int i = 0; i < 20; i++) {
-            client.send(RouterHarness.look("" + i));
+            client.send(RouterHarness.lookQuery("" + i));
             assertEquals("TDC", client.types());
             assertTrue(closed.await(20, TimeUnit.SECONDS));
         }
@@ -499,19 +499,19 @@
         })).discovery(connection -> {
             await(moves);
             String line = "{\"revision\":42,\"complete\":false,\"members\":["
-                + RouterHarness.entry("m", second.address(), "Ready", 0) + "]}\n";
+                + RouterHarness.memberJson("m", second.address(), "Ready", 0) + "]}\n";
             connection.write(("HTTP/1.1 200 OK\r\n\r\n" + line).getBytes(java.nio.charset.StandardCharsets.US_ASCII));
             connection.awaitEnd();
         });
         rig.start(policy);
         policy.next(RoutingPolicy.MemberList.class);
         Client client = rig.client();
-        client.send(RouterHarness.look("1"));
+        client.send(RouterHarness.lookQuery("1"));
         assertEquals("TDC", client.types());
         moves.countDown();
         policy.next(RoutingPolicy.MemberList.class);
         assertTrue(ended.await(20, TimeUnit.SECONDS));
-        client.send(RouterHarness.look("2"));
+        client.send(RouterHarness.lookQuery("2"));
         assertEquals("TDC", client.types());
         assertEquals(1, second.accepted());
     }
