--- a/router/src/main/java/ledgewall/net/Attempt.java
+++ b/router/src/main/java/ledgewall/net/Attempt.java
@@ -2,33 +2,35 @@
 
 import ledgewall.pg.Reply;
 
-/** One sending of a request to a member. It ends once, whatever comes later. */
+/** One attempt to have a member serve a request. It ends exactly once; whatever arrives later is ignored. */
 final class Attempt implements Exchange {
-    /** Hears of an attempt's row and of its end. */
+    /** Receives an attempt's answer and its outcome. */
     interface Listener {
-        void served(Attempt attempt, Reply reply);
+        /** The complete row has been received, before the end of the reply. */
+        void answerReceived(Attempt attempt, Reply reply);
 
-        void ended(Attempt attempt, AttemptOutcome ending, Reply reply, long at);
+        /** The attempt has ended; {@code reply} holds what was received of one. */
+        void attemptEnded(Attempt attempt, AttemptOutcome outcome, Reply reply, long endedAt);
     }
 
     private final ClientRequest request;
     private final int number;
     private final String member;
     private final long sentAt;
-    private final long timeout;
-    private final boolean repeatable;
+    private final long timeoutNanos;
+    private final boolean idempotent;
     private final Listener listener;
     private HostConnection connection;
-    private EventLoop.Timer timer;
+    private EventLoop.Timer timeoutTimer;
     private boolean ended;
 
-    Attempt(ClientRequest request, String member, long sentAt, long timeout, boolean repeatable, Listener listener) {
+    Attempt(ClientRequest request, String member, long sentAt, long timeoutNanos, boolean idempotent, Listener listener) {
         this.request = request;
         this.number = request.attempts().size();
         this.member = member;
         this.sentAt = sentAt;
-        this.timeout = timeout;
-        this.repeatable = repeatable;
+        this.timeoutNanos = timeoutNanos;
+        this.idempotent = idempotent;
         this.listener = listener;
     }
 
@@ -36,6 +38,7 @@
         return request;
     }
 
+    /** The attempt's number within its request, from 0. */
     int number() {
         return number;
     }
@@ -44,6 +47,7 @@
         return member;
     }
 
+    /** When the attempt began, by the router's clock in nanoseconds. */
     long sentAt() {
         return sentAt;
     }
@@ -52,59 +56,59 @@
         return ended;
     }
 
-    /** Whether its request may run more than once. */
-    boolean isRepeatable() {
-        return repeatable;
+    /** Whether its request may be executed more than once. */
+    boolean isIdempotent() {
+        return idempotent;
     }
 
-    /** Gives the attempt its connection and the timer that ends it. */
-    void carriedBy(HostConnection carrier, EventLoop.Timer givesUp) {
-        connection = carrier;
-        timer = givesUp;
+    /** Sets the connection that carries the attempt and its timeout timer. */
+    void attach(HostConnection hostConnection, EventLoop.Timer timer) {
+        connection = hostConnection;
+        timeoutTimer = timer;
         if (ended) {
-            timer.cancel();
+            timeoutTimer.cancel();
         }
     }
 
     @Override
     public byte[] query() {
-        return request.statement().withWait(Math.max(1, Clock.toMillis(timeout)));
+        return request.statement().withWait(Math.max(1, Clock.nanosToMillis(timeoutNanos)));
     }
 
     @Override
     public void begun(long at) {
-        // the time of an attempt counts from its sending, connecting included
+        // the attempt's time is measured from sentAt and includes the time to connect
     }
 
     @Override
     public void served(Reply reply) {
         if (!ended) {
-            listener.served(this, reply);
+            listener.answerReceived(this, reply);
         }
     }
 
     @Override
-    public void ended(AttemptOutcome ending, Reply reply, long at) {
+    public void ended(AttemptOutcome outcome, Reply reply, long endedAt) {
         if (ended) {
             return;
         }
         ended = true;
-        if (timer != null) {
-            timer.cancel();
+        if (timeoutTimer != null) {
+            timeoutTimer.cancel();
         }
-        listener.ended(this, ending, reply, at);
+        listener.attemptEnded(this, outcome, reply, endedAt);
     }
 
-    /** Stops waiting: the connection closes, and an answer that is whole already still counts. */
-    void giveUp(AttemptOutcome ending, long at) {
+    /** Ends the attempt and closes its connection. A complete answer that has been received determines the outcome. */
+    void abort(AttemptOutcome reason, long endedAt) {
         if (ended) {
             return;
         }
-        AttemptOutcome last = connection != null && connection.isAnswered() ? connection.endingInHand() : ending;
+        AttemptOutcome outcome = connection != null && connection.isAnswered() ? connection.endingInHand() : reason;
         Reply reply = connection == null ? new Reply() : connection.reply();
         if (connection != null) {
             connection.close();
         }
-        ended(last, reply, at);
+        ended(outcome, reply, endedAt);
     }
 }
--- a/router/src/main/java/ledgewall/net/AttemptOutcome.java
+++ b/router/src/main/java/ledgewall/net/AttemptOutcome.java
@@ -3,34 +3,34 @@
 import ledgewall.RoutingPolicy.Result;
 import ledgewall.pg.SqlState;
 
-/** Every way in which an attempt, a probe or its connection can end, with what it is to the policy. */
+/** The ways in which an attempt or a probe can end, each with the result that the policy is given. */
 enum AttemptOutcome {
     SERVED(Result.OK),
-    /** 25006: a write, and the member is no primary. */
+    /** 25006: the request is a write, and the member is not a primary. */
     NOT_PRIMARY(Result.MISSED),
     /** 72000: the member's data is too old for the read. */
     TOO_FAR_BEHIND(Result.MISSED),
-    /** 08P01 or a syntax error: the statement itself is wrong, which its client is told; the member did as it should. */
+    /** 08P01 or 42601: the statement itself is invalid, which is reported to its client; the member is not at fault. */
     BAD_STATEMENT(Result.ERROR),
-    /** XX000, or a code that the protocol does not name: it may have run. */
+    /** XX000, or any other code: the request may have been executed. */
     HOST_ERROR(Result.ERROR),
-    /** 53300: queue full, draining, too many connections, or over already. */
+    /** 53300: the member's queue is full, it is draining, has too many connections, or the request's time is over. */
     TURNED_AWAY(Result.REJECTED),
     /** A probe's 57P03: the member is not ready. */
     NOT_READY(Result.REJECTED),
-    /** This router has no descriptor left for a connection: nothing is known of the member. */
+    /** This router has no file descriptor left for a connection, which says nothing about the member. */
     NO_DESCRIPTOR(Result.REJECTED),
     CONNECT_REFUSED(Result.NOT_CONNECTED),
     CONNECT_TIMED_OUT(Result.NOT_CONNECTED),
-    /** Broken, or no protocol, before the request's last byte was written. */
+    /** The connection broke, or the host violated the protocol, before the request's last byte was written. */
     BROKEN_BEFORE_WRITTEN(Result.NOT_CONNECTED),
-    /** Broken or ended without a whole answer after the request's last byte was written. */
+    /** The connection ended without a complete answer after the request's last byte was written. */
     BROKEN_AFTER_WRITTEN(Result.RESET),
-    /** The host's answer was no protocol: the connection ended here, and the request may have run. */
+    /** The host's answer violated the protocol: the router closed the connection, and the request may have been executed. */
     GARBLED(Result.RESET),
     TIMED_OUT(Result.TIMED_OUT),
     GIVEN_UP(Result.CANCELLED),
-    /** Over, out of time or out of attempts before anything was sent. */
+    /** The request had ended, or its time or number of attempts was used up, before anything was sent. */
     NEVER_SENT(Result.NEVER_SENT);
 
     private final Result result;
@@ -43,9 +43,9 @@
         return result;
     }
 
-    /** How an error's code ends what it answers. */
-    static AttemptOutcome ofSqlState(String code) {
-        return switch (code) {
+    /** The outcome of a request or probe that a host answered with this SQLSTATE. */
+    static AttemptOutcome ofSqlState(String sqlState) {
+        return switch (sqlState) {
             case SqlState.READ_ONLY -> NOT_PRIMARY;
             case SqlState.TOO_FAR_BEHIND -> TOO_FAR_BEHIND;
             case SqlState.TOO_MANY_CONNECTIONS -> TURNED_AWAY;
@@ -54,8 +54,8 @@
         };
     }
 
-    /** How an error instead of a greeting ends what was to be sent: it never was. */
-    static AttemptOutcome ofGreeting(String code) {
-        return code.equals(SqlState.TOO_MANY_CONNECTIONS) ? TURNED_AWAY : BROKEN_BEFORE_WRITTEN;
+    /** The outcome where a host answered the start-up message with this SQLSTATE, so that nothing was sent. */
+    static AttemptOutcome ofStartupError(String sqlState) {
+        return sqlState.equals(SqlState.TOO_MANY_CONNECTIONS) ? TURNED_AWAY : BROKEN_BEFORE_WRITTEN;
     }
 }
--- a/router/src/main/java/ledgewall/net/BufferedBytes.java
+++ b/router/src/main/java/ledgewall/net/BufferedBytes.java
@@ -4,31 +4,32 @@
 import java.util.Map;
 
 /**
- * The bytes that clients make the router hold: messages in part, statements in hand, answers not yet taken. Where
- * they come to too many together, the client that holds the most is cut off, so that slow readers never cost the
- * router its life.
+ * The bytes that are buffered for clients: partial messages, statements of unanswered requests, unsent answers. If their
+ * total exceeds a maximum, the connection with the most is closed, so that clients that read slowly can't exhaust the heap.
  */
 final class BufferedBytes {
-    /** Well within the heap that `run` gives, beside what hosts' answers and the rest need. */
-    private static final long MOST = 16L * 1024 * 1024;
+    /** Maximum total; leaves enough of the heap that the `run` script sets for hosts' answers and everything else. */
+    private static final long MAX_TOTAL_BYTES = 16L * 1024 * 1024;
 
-    private final Map<ClientConnection, Integer> bytes = new HashMap<>();
-    private long sum;
+    private final Map<ClientConnection, Integer> bytesByClient = new HashMap<>();
+    private long totalBytes;
 
-    void hold(ClientConnection client, int count) {
-        Integer before = count == 0 ? bytes.remove(client) : bytes.put(client, count);
-        sum += count - (before == null ? 0 : before);
-        if (sum > MOST) {
-            bytes.entrySet().stream().max(Map.Entry.comparingByValue()).ifPresent(most -> most.getKey().cutOff());
+    /** Sets the number of bytes buffered for a client. */
+    void set(ClientConnection client, int bytes) {
+        Integer previous = bytes == 0 ? bytesByClient.remove(client) : bytesByClient.put(client, bytes);
+        totalBytes += bytes - (previous == null ? 0 : previous);
+        if (totalBytes > MAX_TOTAL_BYTES) {
+            bytesByClient.entrySet().stream().max(Map.Entry.comparingByValue())
+                .ifPresent(largest -> largest.getKey().closeForBufferedBytes());
         }
     }
 
-    void release(ClientConnection client) {
-        Integer before = bytes.remove(client);
-        sum -= before == null ? 0 : before;
+    void remove(ClientConnection client) {
+        Integer previous = bytesByClient.remove(client);
+        totalBytes -= previous == null ? 0 : previous;
     }
 
-    long sum() {
-        return sum;
+    long totalBytes() {
+        return totalBytes;
     }
 }
--- a/router/src/main/java/ledgewall/net/Classifier.java
+++ b/router/src/main/java/ledgewall/net/Classifier.java
@@ -5,38 +5,38 @@
 import ledgewall.pg.SqlSummary;
 
 /**
- * Says what requests are that bring no comment. Asked on the loop, where it must not wait for anything; time is handed
- * in. Rules, limits and their state are its own.
+ * Classifies requests without a routing comment. Called on the event loop's thread, so that it must not block; it uses the
+ * time given with the request. It keeps its rules, its limits and their state itself.
  */
 public interface Classifier {
     /**
-     * What is known of a request.
+     * What is known of a request that is to be classified.
      *
-     * @param comment the fields of its comment
+     * @param comment the fields of its comment, if it has one
      * @param now Unix time in ns
      */
     record Request(String sql, SqlSummary summary, Map<String, String> comment, String user, String database, String address,
                    long now) { }
 
-    /** What comes of asking: one of the three below. */
-    sealed interface Answer permits Known, Unknown, Limited { }
+    /** The result of a classification. */
+    sealed interface Result permits Known, Unknown, Limited { }
 
     /**
-     * The request goes on as this.
+     * The request is routed as {@code classified}.
      *
-     * @param over is run once when the request is over, however it ends
+     * @param onEnd run once when the request ends, however it ends; may be null
      */
-    record Known(Classified as, Runnable over) implements Answer { }
+    record Known(Classified classified, Runnable onEnd) implements Result { }
 
-    /** Nobody can say what it is; the reason is for its client. */
-    record Unknown(String reason) implements Answer { }
+    /** The request could not be classified; the reason is sent to its client. */
+    record Unknown(String reason) implements Result { }
 
-    /** It is more than it may ask for: refused, and trying again after that many ns is harmless. */
-    record Limited(long retryAfter) implements Answer { }
+    /** The request exceeds a limit and is refused; the client may retry after this time. */
+    record Limited(long retryAfterNanos) implements Result { }
 
-    /** Classifies a request that brings no comment, or any where {@link #overridesComments}. */
-    Answer classify(Request request);
+    /** Classifies a request without a comment or, where {@link #overridesComments}, any request. */
+    Result classify(Request request);
 
-    /** Whether it is asked of requests that bring the comment too. */
+    /** Whether requests with a comment are classified too. */
     boolean overridesComments();
 }
--- a/router/src/main/java/ledgewall/net/ClientConnection.java
+++ b/router/src/main/java/ledgewall/net/ClientConnection.java
@@ -17,119 +17,124 @@
 import ledgewall.pg.Statement;
 import org.apache.mina.core.session.IoSession;
 
-/** A client's connection: its commands are answered one by one, in their order. */
+/** A client's connection. Commands may be pipelined; their answers are written in the order of the commands. */
 final class ClientConnection implements Endpoint {
-    /** A statement with a value of 64 KiB in hexadecimal digits, and room beside it. */
-    private static final int LONGEST_MESSAGE = 192 * 1024;
-    /** Commands in hand from which on the next ones wait, and nothing more is read, until some are answered. */
-    private static final int MOST_PIPELINED = 64;
+    /** Longest message, in bytes: a statement with a value of 64 KiB in hexadecimal digits, and room for the rest of it. */
+    private static final int MAX_MESSAGE_BYTES = 192 * 1024;
+    /** Unanswered commands at which further ones are queued, and reading is suspended, until some are answered. */
+    private static final int MAX_PIPELINED_COMMANDS = 64;
 
     /**
-     * A connection is owed an error or its end within 3 s of saying nothing of use; a sweep finds it up to 0.25 s late,
-     * and connecting took its time.
+     * Time within which a client has to send a complete command. A client that sends none has to get an error, or see its
+     * connection closed, within 3 s; the sweep detects it up to 0.25 s late, and connecting takes part of the 3 s too.
      */
-    private static final long UNTIL_ASKED = Clock.millis(2_300);
-    /** Reads that wait for the loop, from which on no more is read: no flood outruns the loop or fills its queue. */
-    private static final int MOST_READS_WAITING = 4;
-    /** Encryption is asked for once each way at most. */
-    private static final int MOST_DECLINED = 2;
-    /** Commands that are none, after which a client is no usual one. */
-    private static final int MOST_FAULTS = 8;
-
-    /** Who sends a request. */
-    record Client(String user, String database, String address) { }
-
-    /** What becomes of a new connection. */
+    private static final long COMMAND_TIMEOUT_NANOS = Clock.millisToNanos(2_300);
+    /**
+     * Reads queued for the event loop at which reading is suspended, so that a client that sends fast can neither outrun the
+     * loop nor fill its queue.
+     */
+    private static final int MAX_QUEUED_READS = 4;
+    /** A client asks for encryption at most once by SSLRequest and once by GSSENCRequest. */
+    private static final int MAX_ENCRYPTION_REQUESTS = 2;
+    /** Invalid commands at which the connection ends: no ordinary client sends so many. */
+    private static final int MAX_INVALID_COMMANDS = 8;
+
+    /** Who sends a request, as far as the connection tells. */
+    record ClientIdentity(String user, String database, String address) { }
+
+    /** Whether a new connection is admitted. */
     enum Admission {
-        /** Its requests are taken. */
+        /** Its requests are accepted. */
         SERVED,
-        /** There is no room for its requests: each is refused, and the connection ends after the first. */
+        /** There is no capacity for its requests: each is refused, and the connection ends after the first. */
         REFUSED,
-        /** There is no room for it: clients hold all that clients may hold. */
+        /** It is closed at once: clients already hold all the descriptors that clients may hold. */
         CLOSED
     }
 
-    /** What takes requests in. */
-    interface Owner {
-        /** Takes a connection in, or says that there is no room for it. */
+    /** Admits connections and handles their requests. */
+    interface RequestHandler {
+        /** Registers a new connection and returns whether it is admitted. */
         Admission admit(ClientConnection connection);
 
-        /** Answers a request for which there is no room. */
-        void refuse(Slot slot);
+        /** Refuses a request of a connection that was admitted as {@link Admission#REFUSED}. */
+        void refuse(AnswerSlot slot);
 
-        ClientRequest take(Statement statement, Slot slot, long at, Client client);
+        /** Handles a request that was received at {@code receivedAt}; its answer goes to the slot. */
+        ClientRequest submit(Statement statement, AnswerSlot slot, long receivedAt, ClientIdentity client);
 
-        /** Whether statements are taken that bring no comment; the same for as long as the router runs. */
-        boolean takesPlain();
+        /** Whether statements without a routing comment are accepted; never changes while the router runs. */
+        boolean acceptsUncommentedStatements();
 
-        /** The client of this request has gone. */
-        void lapsed(ClientRequest request);
+        /** The client of this request has disconnected, or its connection has failed. */
+        void requestAbandoned(ClientRequest request);
 
-        void left(ClientConnection connection);
+        /** An admitted connection has closed. */
+        void connectionClosed(ClientConnection connection);
 
-        /** A command has come whole. */
-        void asked(ClientConnection connection);
+        /** A complete command has been received. */
+        void commandReceived(ClientConnection connection);
 
-        /** Nothing is in hand any more. */
-        void idle(ClientConnection connection);
+        /** Every command of the connection has been answered. */
+        void connectionIdle(ClientConnection connection);
     }
 
-    private final Wiring wiring;
-    private final Owner owner;
-    private final FrameReader frames = FrameReader.ofClient(LONGEST_MESSAGE);
-    private final Deque<Slot> slots = new ArrayDeque<>();
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private final AtomicInteger readsWaiting = new AtomicInteger();
+    private final RouterContext context;
+    private final RequestHandler requestHandler;
+    private final FrameReader frameReader = FrameReader.ofClient(MAX_MESSAGE_BYTES);
+    private final Deque<AnswerSlot> answerSlots = new ArrayDeque<>();
+    private final Deque<QueuedCommand> queuedCommands = new ArrayDeque<>();
+    private final AtomicInteger queuedReads = new AtomicInteger();
     private IoSession session;
-    private Client client = new Client("", "", "");
+    private ClientIdentity client = new ClientIdentity("", "", "");
     private Admission admission = Admission.CLOSED;
     private boolean closed;
-    private boolean skipping;
+    private boolean skipsUntilSync;
     private boolean closing;
-    private boolean closesAfterAnswer;
-    private boolean broken;
-    private boolean taking;
-    private int partial;
-    private int taken;
-    private int unsent;
-    private boolean asked;
-    private int faults;
-    private int declined;
+    private boolean closesAfterNextAnswer;
+    private boolean failed;
+    private boolean processingQueue;
+    private int partialMessageBytes;
+    private int pendingStatementBytes;
+    private int unsentBytes;
+    private boolean commandReceived;
+    private int invalidCommands;
+    private int encryptionRequests;
     private long openedAt;
     private long idleSince;
-    private long partialSince;
+    private long partialMessageSince;
 
-    /** A command that has come, and when, but is not in hand yet. */
-    private record Waiting(ClientMessage message, long at) {
-        int size() {
+    /** A command that waits for earlier ones to be answered, and when it was received. */
+    private record QueuedCommand(ClientMessage message, long receivedAt) {
+        int statementBytes() {
             return message instanceof ClientMessage.Query query ? query.statement().size() : 0;
         }
     }
 
-    /** The place of one command's answer. */
-    final class Slot {
+    /** One command's place in the order of answers, and its answer once there is one. */
+    final class AnswerSlot {
         private ClientRequest request;
-        private byte[] message;
-        private int size;
-        private boolean last;
+        private byte[] answer;
+        private int statementBytes;
+        private boolean closesConnection;
         private boolean refused;
 
-        void fill(byte[] answer) {
-            message = answer;
+        void complete(byte[] message) {
+            answer = message;
             flush();
         }
     }
 
-    ClientConnection(Wiring wiring, Owner owner) {
-        this.wiring = wiring;
-        this.owner = owner;
+    ClientConnection(RouterContext context, RequestHandler requestHandler) {
+        this.context = context;
+        this.requestHandler = requestHandler;
     }
 
     @Override
     public void opened(IoSession opened) {
         session = opened;
-        openedAt = wiring.loop().now();
-        admission = owner.admit(this);
+        openedAt = context.loop().now();
+        admission = requestHandler.admit(this);
         if (admission == Admission.CLOSED) {
             close();
         }
@@ -137,84 +142,85 @@
 
     @Override
     public void written(int bytes) {
-        unsent -= bytes;
-        takeWaiting();
+        unsentBytes -= bytes;
+        processQueue();
     }
 
     @Override
-    public Runnable receive(ByteBuffer bytes, long at, IoSession from) {
-        if (readsWaiting.incrementAndGet() >= MOST_READS_WAITING) {
-            from.suspendRead(); // the loop takes it up again once it has come so far
+    public Runnable receive(ByteBuffer bytes, long receivedAt, IoSession from) {
+        if (queuedReads.incrementAndGet() >= MAX_QUEUED_READS) {
+            from.suspendRead(); // resumed by the event loop once it has processed enough reads
         }
-        Runnable taken = parse(bytes, at);
+        Runnable processing = parse(bytes, receivedAt);
         return () -> {
-            readsWaiting.decrementAndGet();
-            taken.run();
-            if (!closed && closing && isUnused()) {
-                closeOnFlush(); // it had come too late to keep, and was no command
+            queuedReads.decrementAndGet();
+            processing.run();
+            if (!closed && closing && isQuiescent()) {
+                closeOnFlush(); // the close waited for this read, which held no complete command
             } else if (!closed) {
-                readOn();
+                updateReading();
             }
         };
     }
 
-    private Runnable parse(ByteBuffer bytes, long at) {
+    private Runnable parse(ByteBuffer bytes, long receivedAt) {
         List<ClientMessage> messages = new ArrayList<>();
         try {
-            List<Frame> received = new ArrayList<>();
+            List<Frame> frames = new ArrayList<>();
             try {
-                frames.feed(bytes, received::add);
+                frameReader.feed(bytes, frames::add);
             } finally {
-                for (Frame frame : received) {
-                    messages.add(ClientMessage.of(frame, owner.takesPlain()));
+                for (Frame frame : frames) {
+                    messages.add(ClientMessage.of(frame, requestHandler.acceptsUncommentedStatements()));
                 }
             }
         } catch (ProtocolException e) {
             return () -> {
-                take(messages, 0, at);
-                fatal(e.getMessage());
+                process(messages, 0, receivedAt);
+                failConnection(e.getMessage());
             };
         }
-        int rest = frames.held();
-        return () -> take(messages, rest, at);
+        int partialBytes = frameReader.held();
+        return () -> process(messages, partialBytes, receivedAt);
     }
 
-    private void take(List<ClientMessage> messages, int rest, long at) {
-        if (closed || broken) {
+    private void process(List<ClientMessage> messages, int partialBytes, long receivedAt) {
+        if (closed || failed) {
             return;
         }
-        partialSince = rest > 0 && (partial == 0 || !messages.isEmpty()) ? at : partialSince;
-        partial = rest;
+        partialMessageSince = partialBytes > 0 && (partialMessageBytes == 0 || !messages.isEmpty())
+            ? receivedAt : partialMessageSince;
+        partialMessageBytes = partialBytes;
         for (ClientMessage message : messages) {
-            Waiting next = new Waiting(message, at);
-            waiting.add(next);
-            taken += next.size();
+            QueuedCommand command = new QueuedCommand(message, receivedAt);
+            queuedCommands.add(command);
+            pendingStatementBytes += command.statementBytes();
         }
-        takeWaiting();
+        processQueue();
     }
 
-    /** Takes what waits as long as there is room for it; reads on only once nothing waits. */
-    private void takeWaiting() {
-        if (taking) {
-            return; // an answer at once, from within
+    /** Processes queued commands while there is capacity; reading resumes only once none is queued. */
+    private void processQueue() {
+        if (processingQueue) {
+            return; // called again by an answer that a command got at once
         }
-        taking = true;
-        while (!closed && !waiting.isEmpty() && hasRoom()) {
-            Waiting next = waiting.poll();
-            taken -= next.size();
-            take(next.message(), next.at());
+        processingQueue = true;
+        while (!closed && !queuedCommands.isEmpty() && hasCapacity()) {
+            QueuedCommand command = queuedCommands.poll();
+            pendingStatementBytes -= command.statementBytes();
+            process(command.message(), command.receivedAt());
         }
-        taking = false;
+        processingQueue = false;
         if (closed) {
             return;
         }
-        readOn();
+        updateReading();
     }
 
-    /** Has more read, or no more, as there is room for it. */
-    private void readOn() {
-        hold();
-        boolean reads = waiting.isEmpty() && hasRoom() && !closing && readsWaiting.get() < MOST_READS_WAITING;
+    /** Suspends or resumes reading, depending on capacity. */
+    private void updateReading() {
+        updateBufferedBytes();
+        boolean reads = queuedCommands.isEmpty() && hasCapacity() && !closing && queuedReads.get() < MAX_QUEUED_READS;
         if (!closed && reads == session.isReadSuspended()) {
             if (reads) {
                 session.resumeRead();
@@ -224,224 +230,233 @@
         }
     }
 
-    private void take(ClientMessage message, long at) {
+    private void process(ClientMessage message, long receivedAt) {
         if (message instanceof ClientMessage.Query || message instanceof ClientMessage.EmptyQuery) {
-            asked = true;
-            owner.asked(this);
+            commandReceived = true;
+            requestHandler.commandReceived(this);
         }
-        if (message instanceof ClientMessage.Query query && !skipping) {
-            query(query.statement(), at);
+        if (message instanceof ClientMessage.Query query && !skipsUntilSync) {
+            handleQuery(query.statement(), receivedAt);
         } else if (message instanceof ClientMessage.Startup startup) {
-            start(startup);
+            handleStartup(startup);
         } else if (message instanceof ClientMessage.EncryptionRequest) {
-            if (++declined > MOST_DECLINED) {
-                fatal("encryption is not offered");
+            if (++encryptionRequests > MAX_ENCRYPTION_REQUESTS) {
+                failConnection("encryption is not offered");
             } else {
-                push(new byte[] {'N'});
+                respond(new byte[] {'N'});
             }
         } else if (message instanceof ClientMessage.CancelRequest || message instanceof ClientMessage.Terminate) {
             close();
         } else if (message instanceof ClientMessage.Sync) {
-            skipping = false;
-            push(MessageWriter.readyForQuery());
-        } else if (message instanceof ClientMessage.Extended && !skipping) {
-            skipping = true;
-            push(MessageWriter.error(SqlState.NOT_SUPPORTED, "the extended query protocol is not supported"));
-        } else if (message instanceof ClientMessage.EmptyQuery && !skipping) {
-            push(MessageWriter.join(MessageWriter.emptyQueryResponse(), MessageWriter.readyForQuery()));
-        } else if (message instanceof ClientMessage.Unserved unserved && !skipping) {
+            skipsUntilSync = false;
+            respond(MessageWriter.readyForQuery());
+        } else if (message instanceof ClientMessage.Extended && !skipsUntilSync) {
+            skipsUntilSync = true;
+            respond(MessageWriter.error(SqlState.NOT_SUPPORTED, "the extended query protocol is not supported"));
+        } else if (message instanceof ClientMessage.EmptyQuery && !skipsUntilSync) {
+            respond(MessageWriter.join(MessageWriter.emptyQueryResponse(), MessageWriter.readyForQuery()));
+        } else if (message instanceof ClientMessage.Unserved unserved && !skipsUntilSync) {
             refuse(unserved.sqlState(), unserved.reason());
-        } else if (message instanceof ClientMessage.Broken fault) {
-            last(fault.reason());
+        } else if (message instanceof ClientMessage.Broken broken) {
+            closeWithError(broken.reason());
         }
     }
 
-    /** The connection ends with this error, once all before it is answered. */
-    private void last(String reason) {
-        Slot slot = new Slot();
-        slot.last = true;
-        slots.add(slot);
+    /** Ends the connection with this error once all commands before it are answered. */
+    private void closeWithError(String reason) {
+        AnswerSlot slot = new AnswerSlot();
+        slot.closesConnection = true;
+        answerSlots.add(slot);
         closing = true;
-        slot.fill(MessageWriter.fatal(SqlState.PROTOCOL_VIOLATION, reason));
+        slot.complete(MessageWriter.fatal(SqlState.PROTOCOL_VIOLATION, reason));
     }
 
-    private void start(ClientMessage.Startup startup) {
-        if (owner.takesPlain()) {
-            Map<String, String> told = startup.parameters();
-            String user = told.getOrDefault("user", "");
+    private void handleStartup(ClientMessage.Startup startup) {
+        if (requestHandler.acceptsUncommentedStatements()) {
+            Map<String, String> parameters = startup.parameters();
+            String user = parameters.getOrDefault("user", "");
             String address = session.getRemoteAddress() instanceof InetSocketAddress from
                 ? from.getAddress().getHostAddress() : "";
-            client = new Client(user, told.getOrDefault("database", user), address);
+            client = new ClientIdentity(user, parameters.getOrDefault("database", user), address);
         }
-        push(startup.minor() == 0 ? MessageWriter.welcome()
+        respond(startup.minor() == 0 ? MessageWriter.welcome()
             : MessageWriter.join(MessageWriter.negotiateVersion(), MessageWriter.welcome()));
     }
 
-    private void query(Statement statement, long at) {
-        Slot slot = new Slot();
-        slots.add(slot);
+    private void handleQuery(Statement statement, long receivedAt) {
+        AnswerSlot slot = new AnswerSlot();
+        answerSlots.add(slot);
         if (admission == Admission.REFUSED) {
             slot.refused = true;
-            owner.refuse(slot);
+            requestHandler.refuse(slot);
             return;
         }
-        slot.size = statement.size();
-        taken += slot.size;
-        slot.request = owner.take(statement, slot, at, client);
+        slot.statementBytes = statement.size();
+        pendingStatementBytes += slot.statementBytes;
+        slot.request = requestHandler.submit(statement, slot, receivedAt, client);
     }
 
-    /** An ordinary error to one command. */
+    /** Answers one command with an error that leaves the connection open, unless there were too many. */
     private void refuse(String sqlState, String reason) {
-        wiring.counters().add(Counters.Count.BAD_QUERIES);
-        if (++faults >= MOST_FAULTS) {
-            fatal(reason);
+        context.counters().add(Counters.Count.BAD_QUERIES);
+        if (++invalidCommands >= MAX_INVALID_COMMANDS) {
+            failConnection(reason);
         } else {
-            push(MessageWriter.join(MessageWriter.error(sqlState, reason), MessageWriter.readyForQuery()));
+            respond(MessageWriter.join(MessageWriter.error(sqlState, reason), MessageWriter.readyForQuery()));
         }
     }
 
-    private void push(byte[] message) {
-        Slot slot = new Slot();
-        slots.add(slot);
-        slot.fill(message);
+    private void respond(byte[] message) {
+        AnswerSlot slot = new AnswerSlot();
+        answerSlots.add(slot);
+        slot.complete(message);
     }
 
-    /** What this client has in hand fails at once: its error is owed soon, however long attempts take. */
-    private void fatal(String reason) {
-        if (closed || broken) {
+    /**
+     * Fails the connection. Its unanswered requests fail at once rather than when their attempts end: the error has to reach
+     * the client soon, however long attempts take.
+     */
+    private void failConnection(String reason) {
+        if (closed || failed) {
             return;
         }
-        wiring.counters().add(Counters.Count.BAD_CLIENTS);
-        broken = true;
-        waiting.clear();
-        for (Slot slot : List.copyOf(slots)) {
-            if (slot.message == null) {
-                owner.lapsed(slot.request);
-                slot.message = MessageWriter.join(
+        context.counters().add(Counters.Count.BAD_CLIENTS);
+        failed = true;
+        queuedCommands.clear();
+        for (AnswerSlot slot : List.copyOf(answerSlots)) {
+            if (slot.answer == null) {
+                requestHandler.requestAbandoned(slot.request);
+                slot.answer = MessageWriter.join(
                     MessageWriter.error(SqlState.CONNECTION_FAILURE, reason), MessageWriter.readyForQuery());
             }
         }
-        last(reason);
+        closeWithError(reason);
     }
 
-    /** Ends a connection that has not sent a whole request for too long: silent, or stuck in the middle of one. */
-    void endIfStuck(long now) {
-        if (!asked && now >= openedAt + UNTIL_ASKED || partial > 0 && now >= partialSince + UNTIL_ASKED) {
-            wiring.counters().add(Counters.Count.SILENT_CLIENTS);
-            fatal("no whole request in time");
+    /** Fails a connection that has sent no command, or only part of a message, for too long. */
+    void failIfStalled(long now) {
+        if (!commandReceived && now >= openedAt + COMMAND_TIMEOUT_NANOS
+                || partialMessageBytes > 0 && now >= partialMessageSince + COMMAND_TIMEOUT_NANOS) {
+            context.counters().add(Counters.Count.SILENT_CLIENTS);
+            failConnection("no whole request in time");
         }
     }
 
+    /** When the connection was opened, by the router's clock in nanoseconds. */
     long openedAt() {
         return openedAt;
     }
 
+    /** When its last answer was written, by the router's clock in nanoseconds. */
     long idleSince() {
         return idleSince;
     }
 
-    /** Writes the answers that are next in order. */
+    /** Writes the answers that are ready, in order, up to the first that is not. */
     private void flush() {
-        while (!closed && !slots.isEmpty() && slots.peekFirst().message != null) {
-            Slot slot = slots.pollFirst();
-            taken -= slot.size;
-            unsent += slot.message.length;
-            wiring.transport().write(session, slot.message);
-            closing |= closesAfterAnswer && (slot.request != null || slot.refused);
-            if (slot.last) {
+        while (!closed && !answerSlots.isEmpty() && answerSlots.peekFirst().answer != null) {
+            AnswerSlot slot = answerSlots.pollFirst();
+            pendingStatementBytes -= slot.statementBytes;
+            unsentBytes += slot.answer.length;
+            context.transport().write(session, slot.answer);
+            closing |= closesAfterNextAnswer && (slot.request != null || slot.refused);
+            if (slot.closesConnection) {
                 closeOnFlush();
             }
         }
-        if (!closed && slots.isEmpty() && waiting.isEmpty()) {
-            if (closing && readsWaiting.get() == 0) {
+        if (!closed && answerSlots.isEmpty() && queuedCommands.isEmpty()) {
+            if (closing && queuedReads.get() == 0) {
                 closeOnFlush();
-            } else if (asked) {
-                idleSince = wiring.loop().now();
-                owner.idle(this);
+            } else if (commandReceived) {
+                idleSince = context.loop().now();
+                requestHandler.connectionIdle(this);
             }
         }
-        takeWaiting();
+        processQueue();
     }
 
-    private boolean hasRoom() {
-        return slots.size() < MOST_PIPELINED && unsent < LONGEST_MESSAGE;
+    private boolean hasCapacity() {
+        return answerSlots.size() < MAX_PIPELINED_COMMANDS && unsentBytes < MAX_MESSAGE_BYTES;
     }
 
-    /** Accounts for the bytes that this client makes the router hold. */
-    private void hold() {
+    /** Updates the count of the bytes that are buffered for this client. */
+    private void updateBufferedBytes() {
         if (!closed) {
-            wiring.held().hold(this, partial + taken + unsent);
+            context.bufferedBytes().set(this, partialMessageBytes + pendingStatementBytes + unsentBytes);
         }
     }
 
-    /** Whether nothing of it is in hand, nor read and still on its way to the loop: what was read was taken. */
-    private boolean isUnused() {
-        return slots.isEmpty() && waiting.isEmpty() && readsWaiting.get() == 0;
+    /**
+     * Whether no command is unanswered and no read is queued for the event loop. Data in a queued read has been acknowledged
+     * by the kernel, so that requests in it have to be answered.
+     */
+    private boolean isQuiescent() {
+        return answerSlots.isEmpty() && queuedCommands.isEmpty() && queuedReads.get() == 0;
     }
 
-    /** Ends the connection after what it has in hand; at once if there is nothing. */
-    void closeAfterAnswers() {
+    /** Closes the connection once its commands are answered; at once if there are none. */
+    void closeWhenAnswered() {
         closing = true;
-        if (!closed && isUnused()) {
+        if (!closed && isQuiescent()) {
             closeOnFlush();
         } else {
-            takeWaiting();
+            processQueue();
         }
     }
 
-    /** Ends the connection to make room: at once, unless a request of it is in hand, which is answered first. */
-    void closeUnlessAnswering() {
-        if (isUnused()) {
+    /** Closes the connection to free its descriptor: at once, unless commands are unanswered, which are answered first. */
+    void evict() {
+        if (isQuiescent()) {
             close();
         } else {
-            closeAfterAnswers();
+            closeWhenAnswered();
         }
     }
 
-    /** Ends the connection after the next request that it answers. */
+    /** Closes the connection after the next request that is answered on it. */
     void closeAfterNextAnswer() {
-        closesAfterAnswer = true;
+        closesAfterNextAnswer = true;
     }
 
     private void closeOnFlush() {
         session.closeOnFlush();
-        gone();
+        handleClosed();
     }
 
-    /** Ends the connection at once. */
+    /** Closes the connection at once, without writing what is pending. */
     void close() {
         if (!closed) {
             session.closeNow();
-            gone();
+            handleClosed();
         }
     }
 
-    /** Ends a connection that makes the router hold too much. */
-    void cutOff() {
-        wiring.counters().add(Counters.Count.CUT_OFF);
+    /** Closes a connection for which too many bytes are buffered. */
+    void closeForBufferedBytes() {
+        context.counters().add(Counters.Count.CUT_OFF);
         close();
     }
 
     @Override
-    public void ended(long at) {
-        gone();
+    public void ended(long endedAt) {
+        handleClosed();
     }
 
-    private void gone() {
+    private void handleClosed() {
         if (closed) {
             return;
         }
         closed = true;
-        wiring.held().release(this);
-        for (Slot slot : slots) {
+        context.bufferedBytes().remove(this);
+        for (AnswerSlot slot : answerSlots) {
             if (slot.request != null) {
-                owner.lapsed(slot.request);
+                requestHandler.requestAbandoned(slot.request);
             }
         }
-        slots.clear();
-        waiting.clear();
+        answerSlots.clear();
+        queuedCommands.clear();
         if (admission != Admission.CLOSED) {
-            owner.left(this);
+            requestHandler.connectionClosed(this);
         }
     }
 }
--- a/router/src/main/java/ledgewall/net/ClientRequest.java
+++ b/router/src/main/java/ledgewall/net/ClientRequest.java
@@ -4,25 +4,28 @@
 import java.util.List;
 import ledgewall.pg.Statement;
 
-/** The one owner of a request: from its last byte until its answer is given and its last attempt has ended. */
+/**
+ * A client's request and its attempts, from the receipt of its last byte until it is answered and its last attempt has ended.
+ * Guarantees that it is answered at most once.
+ */
 final class ClientRequest {
     private final long number;
     private final Statement statement;
     private final long deadline;
-    private final ClientConnection.Slot slot;
+    private final ClientConnection.AnswerSlot slot;
     private final List<Attempt> attempts = new ArrayList<>();
-    private EventLoop.Timer overdue;
-    private Runnable whenOver;
-    private boolean over;
+    private EventLoop.Timer overdueTimer;
+    private Runnable onEnd;
+    private boolean ended;
 
-    ClientRequest(long number, Statement statement, long deadline, ClientConnection.Slot slot) {
+    ClientRequest(long number, Statement statement, long deadline, ClientConnection.AnswerSlot slot) {
         this.number = number;
         this.statement = statement;
         this.deadline = deadline;
         this.slot = slot;
     }
 
-    /** The router's own number: client ids may repeat. */
+    /** The number that the router gave to the request: ids from clients may repeat. */
     long number() {
         return number;
     }
@@ -31,6 +34,7 @@
         return statement;
     }
 
+    /** The time, by the router's clock in nanoseconds, until which the client waits for the answer. */
     long deadline() {
         return deadline;
     }
@@ -39,42 +43,44 @@
         return attempts;
     }
 
-    void watch(EventLoop.Timer timer) {
-        overdue = timer;
+    /** Sets the timer that fails the request if it is still unanswered; cancelled when the request ends. */
+    void setOverdueTimer(EventLoop.Timer timer) {
+        overdueTimer = timer;
     }
 
-    /** Has something done once it is over. */
-    void whenOver(Runnable task) {
-        whenOver = task;
+    /** Sets a task to run once when the request ends, or null. */
+    void onEnd(Runnable task) {
+        onEnd = task;
     }
 
-    boolean isOver() {
-        return over;
+    /** Whether it has been answered or abandoned; attempts may still be open. */
+    boolean isEnded() {
+        return ended;
     }
 
     boolean hasOpenAttempt() {
         return attempts.stream().anyMatch(attempt -> !attempt.isEnded());
     }
 
-    /** Gives the one answer; false if there was one before, or the client has gone. */
+    /** Answers the request; false if it has been answered before or abandoned. */
     boolean answer(byte[] message) {
-        if (over) {
+        if (ended) {
             return false;
         }
         end();
-        slot.fill(message);
+        slot.complete(message);
         return true;
     }
 
-    /** Ends it without an answer. */
+    /** Ends the request without an answer. */
     void end() {
-        over = true;
-        if (whenOver != null) {
-            whenOver.run();
-            whenOver = null;
+        ended = true;
+        if (onEnd != null) {
+            onEnd.run();
+            onEnd = null;
         }
-        if (overdue != null) {
-            overdue.cancel();
+        if (overdueTimer != null) {
+            overdueTimer.cancel();
         }
     }
 }
--- a/router/src/main/java/ledgewall/net/Clock.java
+++ b/router/src/main/java/ledgewall/net/Clock.java
@@ -4,22 +4,22 @@
 import java.util.function.LongSupplier;
 
 /**
- * The router's one clock: Unix nanoseconds, anchored once and advanced by the monotonic clock, so that it never
- * goes back. All that comes with a Unix time is translated here.
+ * The router's clock: Unix time in nanoseconds, read from the system clock once and advanced by the monotonic clock, so that
+ * it never goes back. Converts Unix times that are received to this clock.
  */
 final class Clock {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    /** The year 2200: later times are none, and would not fit. */
-    private static final double LAST_MILLIS = 7.258e12;
+    /** The year 2200: later times are invalid, and would overflow. */
+    private static final double MAX_UNIX_MILLIS = 7.258e12;
     private static final double MILLIS_PER_SECOND = 1e3;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private final LongSupplier monotonic;
-    private final long offset;
+    private final long offsetNanos;
 
     private Clock(LongSupplier monotonic, long unixNanos) {
         this.monotonic = monotonic;
-        this.offset = unixNanos - monotonic.getAsLong();
+        this.offsetNanos = unixNanos - monotonic.getAsLong();
     }
 
     static Clock ofSystem() {
@@ -27,30 +27,32 @@
         return new Clock(System::nanoTime, now.getEpochSecond() * NANOS_PER_SECOND + now.getNano());
     }
 
+    /** A clock that starts at {@code unixNanos} and advances with {@code monotonic}, in nanoseconds. */
     static Clock of(LongSupplier monotonic, long unixNanos) {
         return new Clock(monotonic, unixNanos);
     }
 
+    /** The current time in nanoseconds. */
     long now() {
-        return monotonic.getAsLong() + offset;
+        return monotonic.getAsLong() + offsetNanos;
     }
 
-    /** A Unix time in milliseconds on this clock; 0 stays 0, for "long ago" and "none", as what is no time does. */
+    /** Converts a Unix time in milliseconds; 0, which means "long ago" or "none", and invalid times become 0. */
     static long ofUnixMillis(double millis) {
-        return millis > 0 && millis < LAST_MILLIS ? (long) Math.floor(millis) * NANOS_PER_MILLI : 0;
+        return millis > 0 && millis < MAX_UNIX_MILLIS ? (long) Math.floor(millis) * NANOS_PER_MILLI : 0;
     }
 
-    /** A Unix time in seconds, told to the millisecond, on this clock. */
+    /** Converts a Unix time in seconds, rounded to the millisecond. */
     static long ofUnixSeconds(double seconds) {
         return ofUnixMillis(Math.round(seconds * MILLIS_PER_SECOND));
     }
 
-    static long millis(long millis) {
+    static long millisToNanos(long millis) {
         return millis * NANOS_PER_MILLI;
     }
 
-    /** Milliseconds of a span, rounded up. */
-    static long toMillis(long nanos) {
+    /** Converts a duration, rounding up; negative ones become 0. */
+    static long nanosToMillis(long nanos) {
         return Math.max(0, (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
     }
 }
--- a/router/src/main/java/ledgewall/net/Counters.java
+++ b/router/src/main/java/ledgewall/net/Counters.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What the router has taken in, sent and answered since its start. */
+/** Counts of what the router has received, sent and answered since its start. */
 final class Counters {
-    /** One thing that is counted. */
+    /** A counter; its name is printed in lower case. */
     enum Count {
         CLIENTS, CLIENTS_TURNED_AWAY, IDLE_CLIENTS_CLOSED, SILENT_CLIENTS, BAD_CLIENTS, CUT_OFF, REQUESTS,
         BAD_QUERIES, SERVED, REFUSED, LIMITED, FAILED, LAPSED, OVERDUE, ATTEMPTS, PROBES, HOST_CONNECTIONS, BAD_HOSTS,
@@ -17,14 +17,14 @@
     }
 
     private final Map<Count, LongAdder> counts = new EnumMap<>(Count.class);
-    private final Map<AttemptOutcome, LongAdder> endings = new EnumMap<>(AttemptOutcome.class);
+    private final Map<AttemptOutcome, LongAdder> outcomes = new EnumMap<>(AttemptOutcome.class);
 
     Counters() {
         for (Count count : Count.values()) {
             counts.put(count, new LongAdder());
         }
-        for (AttemptOutcome ending : AttemptOutcome.values()) {
-            endings.put(ending, new LongAdder());
+        for (AttemptOutcome outcome : AttemptOutcome.values()) {
+            outcomes.put(outcome, new LongAdder());
         }
     }
 
@@ -32,30 +32,30 @@
         counts.get(count).increment();
     }
 
-    void add(Count count, long many) {
-        counts.get(count).add(many);
+    void add(Count count, long amount) {
+        counts.get(count).add(amount);
     }
 
-    void addEnding(AttemptOutcome ending) {
-        endings.get(ending).increment();
+    void addOutcome(AttemptOutcome outcome) {
+        outcomes.get(outcome).increment();
     }
 
     long of(Count count) {
         return counts.get(count).sum();
     }
 
-    long of(AttemptOutcome ending) {
-        return endings.get(ending).sum();
+    long of(AttemptOutcome outcome) {
+        return outcomes.get(outcome).sum();
     }
 
-    /** One line: every counter that has counted, then how attempts ended. */
+    /** One line: every counter above 0, then the number of attempts by outcome. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
         counts.forEach((count, value) -> append(text, count, value));
-        StringBuilder ended = new StringBuilder();
-        endings.forEach((ending, value) -> append(ended, ending, value));
-        return (ended.isEmpty() ? text : text.append(" | attempts ended:").append(ended)).toString().trim();
+        StringBuilder attempts = new StringBuilder();
+        outcomes.forEach((outcome, value) -> append(attempts, outcome, value));
+        return (attempts.isEmpty() ? text : text.append(" | attempts ended:").append(attempts)).toString().trim();
     }
 
     private static void append(StringBuilder text, Enum<?> name, LongAdder value) {
--- a/router/src/main/java/ledgewall/net/EventLoop.java
+++ b/router/src/main/java/ledgewall/net/EventLoop.java
@@ -14,41 +14,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread that owns all of the router's state. Each turn takes all that is ready, then the timers that are
- * due, hands the policy the events of both in one call, and carries out its actions in order.
+ * The event loop: the one thread that may access the router's state. Each turn runs all queued tasks, then the timers
+ * that are due, passes the events of both to the policy in one call, and carries out the policy's actions in order.
  */
 final class EventLoop implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-    /** A turn that begins this long after its first timer was due is counted as late. */
-    private static final long LATE = Clock.millis(20);
+    /** A turn counts as late if it starts more than this after its first timer was due; a turn that takes this long is logged. */
+    private static final long LATE_TURN_NANOS = Clock.millisToNanos(20);
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final int LEAST_DROPPED = 256;
+    /** Cancelled timers stay in the queue up to this number. */
+    private static final int MIN_CANCELLED_TO_PURGE = 256;
 
     private final Clock clock;
     private final Counters counters;
-    private final BlockingQueue<Runnable> inbox = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Runnable> taskQueue = new LinkedBlockingQueue<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final List<Runnable> ready = new ArrayList<>();
-    private List<Event> events = new ArrayList<>();
+    private final List<Runnable> readyTasks = new ArrayList<>();
+    private List<Event> pendingEvents = new ArrayList<>();
     private RoutingPolicy policy;
-    private Consumer<Action> carryOut;
-    private Runnable catchUp = () -> { };
+    private Consumer<Action> actionHandler;
+    private Runnable inputReader = () -> { };
     private long now;
-    private long timerNumber;
-    /** Timers called off that are still in the queue. */
-    private int cancelled;
-    private long busy;
-    private long longestTurn;
+    private long nextTimerNumber;
+    /** Cancelled timers that are still in the queue. */
+    private int cancelledInQueue;
+    private long busyNanos;
+    private long longestTurnNanos;
     private volatile boolean stopped;
 
-    /** Something that is to be done at a time, unless it is called off before. */
+    /** A task that runs at a given time unless it is cancelled before. */
     final class Timer implements Comparable<Timer> {
-        private final long at;
+        private final long dueAt;
         private final long number;
         private Runnable task;
 
-        private Timer(long at, long number, Runnable task) {
-            this.at = at;
+        private Timer(long dueAt, long number, Runnable task) {
+            this.dueAt = dueAt;
             this.number = number;
             this.task = task;
         }
@@ -56,14 +57,14 @@
         void cancel() {
             if (task != null) {
                 task = null;
-                cancelled++;
-                dropManyCancelled();
+                cancelledInQueue++;
+                purgeCancelled();
             }
         }
 
         @Override
         public int compareTo(Timer other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(number, other.number);
         }
     }
 
@@ -73,45 +74,47 @@
         this.now = clock.now();
     }
 
-    /** Says who decides and who carries out; before the loop runs. */
-    void decideBy(RoutingPolicy decider, Consumer<Action> executor) {
-        policy = decider;
-        carryOut = executor;
+    /** Sets the policy and what carries out its actions; to be called before the loop runs. */
+    void setPolicy(RoutingPolicy routingPolicy, Consumer<Action> handler) {
+        policy = routingPolicy;
+        actionHandler = handler;
     }
 
-    /** Says how all that has come is brought into the queue; before the loop runs. */
-    void catchUpBy(Runnable reader) {
-        catchUp = reader;
+    /** Sets the task that queues all input received so far; to be called before the loop runs. */
+    void setInputReader(Runnable reader) {
+        inputReader = reader;
     }
 
-    /** Hands the loop something to do; from any thread. */
+    /** Queues a task for the loop; may be called from any thread. */
     void post(Runnable task) {
-        inbox.add(task);
+        taskQueue.add(task);
     }
 
-    /** The longest turn so far, in nanoseconds; of the loop's thread alone. */
-    long longestTurn() {
-        return longestTurn;
+    /** The longest turn so far; to be called on the loop's thread only. */
+    long longestTurnNanos() {
+        return longestTurnNanos;
     }
 
-    /** The time of the turn in hand. */
+    /** The time at which the current turn began, by the router's clock in nanoseconds. */
     long now() {
         return now;
     }
 
-    /** Tells the policy something, in this turn or, while actions are carried out, in the next. */
-    void tell(Event event) {
-        events.add(event);
+    /** Queues an event for the policy, on the loop's thread: for this turn or, while actions are carried out, for the next. */
+    void postEvent(Event event) {
+        pendingEvents.add(event);
     }
 
-    Timer at(long time, Runnable task) {
-        Timer timer = new Timer(time, timerNumber++, task);
+    /** Schedules a task for a time of the router's clock, in nanoseconds. */
+    Timer runAt(long dueAt, Runnable task) {
+        Timer timer = new Timer(dueAt, nextTimerNumber++, task);
         timers.add(timer);
         return timer;
     }
 
-    Timer in(long span, Runnable task) {
-        return at(now + span, task);
+    /** Schedules a task for so many nanoseconds after the start of the current turn. */
+    Timer runAfter(long delayNanos, Runnable task) {
+        return runAt(now + delayNanos, task);
     }
 
     void stop() {
@@ -131,97 +134,97 @@
     }
 
     private void turn() throws InterruptedException {
-        gather();
+        awaitTasks();
         if (isLate()) {
-            // The process stood still: answers may have come in time and not been read. They go before time-outs.
+            // The process was stalled: answers may have arrived in time without being read. They are processed before timeouts.
             counters.add(Counters.Count.LATE_BATCHES);
-            catchUp.run();
-            inbox.drainTo(ready);
+            inputReader.run();
+            taskQueue.drainTo(readyTasks);
         }
         now = clock.now();
-        ready.forEach(this::guarded);
-        ready.clear();
-        runTimers();
-        if (!events.isEmpty()) {
-            decide();
+        readyTasks.forEach(this::runGuarded);
+        readyTasks.clear();
+        runDueTimers();
+        if (!pendingEvents.isEmpty()) {
+            runPolicy();
         }
-        tellLongTurn(clock.now() - now);
+        recordTurn(clock.now() - now);
     }
 
-    private void tellLongTurn(long took) {
-        busy += took;
-        counters.add(Counters.Count.BUSY_MILLIS, busy / NANOS_PER_MILLI);
-        busy %= NANOS_PER_MILLI;
-        if (took > longestTurn) {
-            longestTurn = took;
-            if (took >= LATE) {
-                LOG.debug("event=longest_turn ms={}", Clock.toMillis(took));
+    private void recordTurn(long turnNanos) {
+        busyNanos += turnNanos;
+        counters.add(Counters.Count.BUSY_MILLIS, busyNanos / NANOS_PER_MILLI);
+        busyNanos %= NANOS_PER_MILLI;
+        if (turnNanos > longestTurnNanos) {
+            longestTurnNanos = turnNanos;
+            if (turnNanos >= LATE_TURN_NANOS) {
+                LOG.debug("event=longest_turn ms={}", Clock.nanosToMillis(turnNanos));
             }
         }
     }
 
-    private void gather() throws InterruptedException {
-        dropCancelled();
-        long wait = !events.isEmpty() ? 0 : timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at - clock.now();
-        Runnable first = wait > 0 ? inbox.poll(wait, TimeUnit.NANOSECONDS) : inbox.poll();
+    private void awaitTasks() throws InterruptedException {
+        removeCancelledHead();
+        long waitNanos = !pendingEvents.isEmpty() ? 0 : timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueAt - clock.now();
+        Runnable first = waitNanos > 0 ? taskQueue.poll(waitNanos, TimeUnit.NANOSECONDS) : taskQueue.poll();
         if (first != null) {
-            ready.add(first);
-            inbox.drainTo(ready);
+            readyTasks.add(first);
+            taskQueue.drainTo(readyTasks);
         }
     }
 
-    private void dropCancelled() {
+    private void removeCancelledHead() {
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
-            cancelled--;
+            cancelledInQueue--;
         }
     }
 
-    /** Timers far ahead that were called off take no memory until then. */
-    private void dropManyCancelled() {
-        if (cancelled > LEAST_DROPPED && cancelled > timers.size() / 2) {
+    /** Removes cancelled timers once they are the greater part, so that those due far ahead don't hold memory until then. */
+    private void purgeCancelled() {
+        if (cancelledInQueue > MIN_CANCELLED_TO_PURGE && cancelledInQueue > timers.size() / 2) {
             timers.removeIf(timer -> timer.task == null);
-            cancelled = 0;
+            cancelledInQueue = 0;
         }
     }
 
-    /** Timers in the queue, those called off included. */
-    int timers() {
+    /** The number of timers in the queue, including cancelled ones. */
+    int queuedTimers() {
         return timers.size();
     }
 
     private boolean isLate() {
-        dropCancelled();
-        return !timers.isEmpty() && timers.peek().at < clock.now() - LATE;
+        removeCancelledHead();
+        return !timers.isEmpty() && timers.peek().dueAt < clock.now() - LATE_TURN_NANOS;
     }
 
-    private void runTimers() {
-        while (!timers.isEmpty() && timers.peek().at <= now) {
+    private void runDueTimers() {
+        while (!timers.isEmpty() && timers.peek().dueAt <= now) {
             Timer timer = timers.poll();
             Runnable task = timer.task;
             if (task == null) {
-                cancelled--;
+                cancelledInQueue--;
             } else {
                 timer.task = null;
-                guarded(task);
+                runGuarded(task);
             }
         }
     }
 
-    private void decide() {
-        List<Event> batch = events;
-        events = new ArrayList<>();
+    private void runPolicy() {
+        List<Event> batch = pendingEvents;
+        pendingEvents = new ArrayList<>();
         counters.add(Counters.Count.BATCHES);
         counters.add(Counters.Count.EVENTS, batch.size());
-        guarded(() -> {
+        runGuarded(() -> {
             for (Action action : policy.decide(now, batch)) {
-                guarded(() -> carryOut.accept(action));
+                runGuarded(() -> actionHandler.accept(action));
             }
         });
     }
 
-    /** A fault in one task ends that task alone. */
-    private void guarded(Runnable task) {
+    /** Runs a task; an exception ends that task only. */
+    private void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
--- a/router/src/main/java/ledgewall/net/RequestDispatcher.java
+++ b/router/src/main/java/ledgewall/net/RequestDispatcher.java
@@ -20,53 +20,56 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes requests in, tells the policy of them, and gives each its one answer. */
-final class RequestDispatcher implements ClientConnection.Owner, Attempt.Listener {
+/** Accepts requests, reports them to the policy, carries out its decisions, and answers each request exactly once. */
+final class RequestDispatcher implements ClientConnection.RequestHandler, Attempt.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
-    /** A day: no client waits longer, and much longer would not fit the clock. */
-    private static final long LONGEST_WAIT_MILLIS = 24L * 3_600 * 1_000;
+    /** One day: no client waits longer, and much larger values would overflow the clock's nanoseconds. */
+    private static final long MAX_WAIT_MILLIS = 24L * 3_600 * 1_000;
     /**
-     * A busy client asks again soon after an answer: what has not by now may have to make room, the longest idle first,
-     * where clients hold more connections than they may for requests. Others come with a request in hand, and would find
-     * none left.
+     * Idle time after which a client's connection may be evicted, the longest idle first, while clients hold more
+     * connections than they may for requests: new clients arrive with a request, and would find no descriptor left. A busy
+     * client sends its next request sooner than this after an answer.
      */
-    private static final long UNUSED = Clock.millis(50);
-    /** A usual client writes as soon as it is connected, but may be slow to be read. */
-    private static final long SILENT = Clock.millis(200);
-    /** Ids remembered at most: some megabytes. */
-    private static final int MOST_IDS = 16_384;
+    private static final long MIN_IDLE_NANOS = Clock.millisToNanos(50);
+    /**
+     * Age at which a connection without a command may be evicted. An ordinary client sends its first command at once, but the
+     * router may read it late.
+     */
+    private static final long MIN_SILENT_NANOS = Clock.millisToNanos(200);
+    /** Reserved request ids at most; they take a few megabytes. */
+    private static final int MAX_RESERVED_IDS = 16_384;
 
-    private final Wiring wiring;
+    private final RouterContext context;
     private final RoutingPolicy.Settings settings;
     private final Members members;
-    private final Map<String, Integer> classes;
-    private final Map<String, Integer> tenants;
-    private final long answerSlack;
+    private final Map<String, Integer> classIndexes;
+    private final Map<String, Integer> tenantIndexes;
+    private final long answerSlackNanos;
     private final Map<Long, ClientRequest> requests = new HashMap<>();
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
-    /** Those that have not sent a whole request yet, the oldest first; each leaves with its first or at its end. */
-    private final Set<ClientConnection> silent = new LinkedHashSet<>();
-    /** Those with nothing in hand, the longest idle first; each leaves with its next request or at its end. */
-    private final Set<ClientConnection> idle = new LinkedHashSet<>();
-    /** Ids that were open until lately, and until when another use of one is none of a usual client's. */
-    private final Map<String, Long> ids = new LinkedHashMap<>();
-    private long lastNumber;
+    /** Clients that have not sent a complete command yet, the oldest first; removed at the first command or when closed. */
+    private final Set<ClientConnection> silentClients = new LinkedHashSet<>();
+    /** Clients without an unanswered command, the longest idle first; removed at the next command or when closed. */
+    private final Set<ClientConnection> idleClients = new LinkedHashSet<>();
+    /** Ids of recent requests, and until when each is reserved: until then no ordinary client uses the id again. */
+    private final Map<String, Long> reservedUntil = new LinkedHashMap<>();
+    private long lastRequestNumber;
     private boolean draining;
     private Classifier classifier;
-    private final boolean takesPlain;
+    private final boolean acceptsUncommentedStatements;
 
-    RequestDispatcher(Wiring wiring, RouterConfig config, Members members, Classifier classifier) {
+    RequestDispatcher(RouterContext context, RouterConfig config, Members members, Classifier classifier) {
         this.classifier = classifier;
-        this.takesPlain = classifier != null;
-        this.wiring = wiring;
+        this.acceptsUncommentedStatements = classifier != null;
+        this.context = context;
         this.settings = config.settings();
         this.members = members;
-        this.classes = indexes(config.vocabulary().classes());
-        this.tenants = indexes(config.vocabulary().tenants());
-        this.answerSlack = config.transport().answerSlack();
+        this.classIndexes = indexByName(config.vocabulary().classes());
+        this.tenantIndexes = indexByName(config.vocabulary().tenants());
+        this.answerSlackNanos = config.transport().answerSlack();
     }
 
-    private static Map<String, Integer> indexes(List<String> names) {
+    private static Map<String, Integer> indexByName(List<String> names) {
         Map<String, Integer> indexes = new HashMap<>();
         for (int i = 0; i < names.size(); i++) {
             indexes.putIfAbsent(names.get(i), i);
@@ -76,333 +79,338 @@
 
     @Override
     public ClientConnection.Admission admit(ClientConnection connection) {
-        if (clients.size() >= wiring.descriptors().forRequests()) {
-            closeAClient();
+        if (clients.size() >= context.descriptors().forRequests()) {
+            evictClient();
         }
-        boolean full = clients.size() >= wiring.descriptors().forClients();
-        boolean room = full ? closeAClient() : wiring.descriptors().roomForTraffic() || makeRoom();
-        if (!room) {
-            wiring.counters().add(Counters.Count.CLIENTS_TURNED_AWAY);
-            LOG.debug("event=client_turned_away full={} clients={} held={}", full, clients.size(), wiring.descriptors().held());
+        boolean full = clients.size() >= context.descriptors().forClients();
+        boolean admitted = full ? evictClient() : context.descriptors().roomForTraffic() || freeDescriptor();
+        if (!admitted) {
+            context.counters().add(Counters.Count.CLIENTS_TURNED_AWAY);
+            LOG.debug("event=client_turned_away full={} clients={} held={}", full, clients.size(), context.descriptors().held());
         }
-        if (full && !room) {
+        if (full && !admitted) {
             return ClientConnection.Admission.CLOSED;
         }
-        wiring.descriptors().take();
-        wiring.counters().add(Counters.Count.CLIENTS);
+        context.descriptors().take();
+        context.counters().add(Counters.Count.CLIENTS);
         clients.add(connection);
-        silent.add(connection);
-        if (draining || !room) {
+        silentClients.add(connection);
+        if (draining || !admitted) {
             connection.closeAfterNextAnswer();
         }
-        return room ? ClientConnection.Admission.SERVED : ClientConnection.Admission.REFUSED;
+        return admitted ? ClientConnection.Admission.SERVED : ClientConnection.Admission.REFUSED;
     }
 
     @Override
-    public void refuse(ClientConnection.Slot slot) {
-        wiring.counters().add(Counters.Count.REQUESTS);
-        wiring.counters().add(Counters.Count.REFUSED);
-        slot.fill(refusal(0));
+    public void refuse(ClientConnection.AnswerSlot slot) {
+        context.counters().add(Counters.Count.REQUESTS);
+        context.counters().add(Counters.Count.REFUSED);
+        slot.complete(refusalMessage(0));
     }
 
     @Override
-    public void left(ClientConnection connection) {
-        wiring.descriptors().release();
+    public void connectionClosed(ClientConnection connection) {
+        context.descriptors().release();
         clients.remove(connection);
-        silent.remove(connection);
-        idle.remove(connection);
+        silentClients.remove(connection);
+        idleClients.remove(connection);
     }
 
     @Override
-    public void asked(ClientConnection connection) {
-        silent.remove(connection);
-        idle.remove(connection);
+    public void commandReceived(ClientConnection connection) {
+        silentClients.remove(connection);
+        idleClients.remove(connection);
     }
 
     @Override
-    public void idle(ClientConnection connection) {
-        idle.add(connection);
+    public void connectionIdle(ClientConnection connection) {
+        idleClients.add(connection);
     }
 
-    /** Frees a descriptor: the silent go first, then clients long idle, then connections to hosts. */
-    private boolean makeRoom() {
-        return closeAClient() || wiring.idle().closeOldest();
+    /** Frees a descriptor: from clients without a command first, then from idle clients, then from idle connections to hosts. */
+    private boolean freeDescriptor() {
+        return evictClient() || context.idleConnections().closeOldest();
     }
 
-    /** Clients wait to be accepted, and too many sockets are open: what is of least use is closed. */
-    void makeRoomForClients() {
-        if (!wiring.descriptors().roomForTraffic()) {
-            makeRoom();
+    /** Called while clients wait to be accepted because too many sockets are open: closes the least useful connection. */
+    void freeDescriptorForPendingClient() {
+        if (!context.descriptors().roomForTraffic()) {
+            freeDescriptor();
         }
     }
 
-    private boolean closeAClient() {
-        long now = wiring.loop().now();
-        return closeFirst(silent, c -> c.openedAt() <= now - SILENT, Counters.Count.SILENT_CLIENTS)
-            || closeFirst(idle, c -> c.idleSince() <= now - UNUSED, Counters.Count.IDLE_CLIENTS_CLOSED);
+    /** Evicts the oldest client without a command, else the longest idle one; false if neither may be evicted yet. */
+    private boolean evictClient() {
+        long now = context.loop().now();
+        return evictFirst(silentClients, c -> c.openedAt() <= now - MIN_SILENT_NANOS, Counters.Count.SILENT_CLIENTS)
+            || evictFirst(idleClients, c -> c.idleSince() <= now - MIN_IDLE_NANOS, Counters.Count.IDLE_CLIENTS_CLOSED);
     }
 
-    private boolean closeFirst(Collection<ClientConnection> from, Predicate<ClientConnection> ripe, Counters.Count count) {
-        Iterator<ClientConnection> first = from.iterator();
+    private boolean evictFirst(Collection<ClientConnection> clientsByAge, Predicate<ClientConnection> evictable,
+                               Counters.Count count) {
+        Iterator<ClientConnection> first = clientsByAge.iterator();
         ClientConnection oldest = first.hasNext() ? first.next() : null;
-        if (oldest == null || !ripe.test(oldest)) {
+        if (oldest == null || !evictable.test(oldest)) {
             return false;
         }
-        wiring.counters().add(count);
-        LOG.debug("event=client_closed why={} clients={} held={}", count, clients.size(), wiring.descriptors().held());
-        oldest.closeUnlessAnswering();
+        context.counters().add(count);
+        LOG.debug("event=client_closed why={} clients={} held={}", count, clients.size(), context.descriptors().held());
+        oldest.evict();
         return true;
     }
 
-    /** Ends what says nothing or only half a request for too long, what idles in too great number, and old ids. */
+    /** Fails stalled clients, evicts idle ones over the limit and expires reserved ids. */
     void sweep() {
-        long now = wiring.loop().now();
+        long now = context.loop().now();
         for (ClientConnection connection : List.copyOf(clients)) {
-            connection.endIfStuck(now);
+            connection.failIfStalled(now);
         }
-        while (clients.size() > wiring.descriptors().forRequests() && closeAClient()) {
-            continue; // until they fit, or the others are all in use
+        while (clients.size() > context.descriptors().forRequests() && evictClient()) {
+            continue; // until the number is within the limit, or no other may be evicted
         }
-        while (!wiring.descriptors().roomForTraffic() && makeRoom()) {
-            continue; // until there is room for the next, or all are in use
+        while (!context.descriptors().roomForTraffic() && freeDescriptor()) {
+            continue; // until a descriptor is free, or none can be freed
         }
-        Iterator<Long> ends = ids.values().iterator();
-        while (ends.hasNext() && ends.next() <= now) {
-            ends.remove(); // the oldest first: a later one waits for those before it, as far as there is room
+        Iterator<Long> expiryTimes = reservedUntil.values().iterator();
+        while (expiryTimes.hasNext() && expiryTimes.next() <= now) {
+            expiryTimes.remove(); // oldest first: an id stays until all those reserved before it have expired
         }
     }
 
-    /** Has another classifier say what requests are from now on; those in hand keep what was said. */
-    void classifyBy(Classifier other) {
-        classifier = other;
+    /** Replaces the classifier; requests already classified are not classified again. */
+    void setClassifier(Classifier newClassifier) {
+        classifier = newClassifier;
     }
 
     @Override
-    public boolean takesPlain() {
-        return takesPlain;
+    public boolean acceptsUncommentedStatements() {
+        return acceptsUncommentedStatements;
     }
 
     @Override
-    public ClientRequest take(Statement statement, ClientConnection.Slot slot, long at, ClientConnection.Client client) {
+    public ClientRequest submit(Statement statement, ClientConnection.AnswerSlot slot, long receivedAt,
+                                ClientConnection.ClientIdentity client) {
         if (classifier == null || statement.isCommented() && !classifier.overridesComments()) {
-            return take(statement, slot, at, (Runnable) null);
+            return submit(statement, slot, receivedAt, (Runnable) null);
         }
-        Classifier.Answer answer = classifier.classify(new Classifier.Request(statement.text(), statement.summary(),
-            statement.comment(), client.user(), client.database(), client.address(), wiring.clock().now()));
-        if (answer instanceof Classifier.Known known) {
-            return take(statement.as(known.as(), "r" + (lastNumber + 1)), slot, at, known.over());
+        Classifier.Result result = classifier.classify(new Classifier.Request(statement.text(), statement.summary(),
+            statement.comment(), client.user(), client.database(), client.address(), context.clock().now()));
+        if (result instanceof Classifier.Known known) {
+            return submit(statement.as(known.classified(), "r" + (lastRequestNumber + 1)), slot, receivedAt, known.onEnd());
         }
-        wiring.counters().add(Counters.Count.REQUESTS);
-        ClientRequest request = new ClientRequest(++lastNumber, statement, at, slot);
-        if (answer instanceof Classifier.Limited limited) {
-            wiring.counters().add(Counters.Count.LIMITED);
-            wiring.counters().add(Counters.Count.REFUSED);
-            request.answer(refusal(limited.retryAfter()));
+        context.counters().add(Counters.Count.REQUESTS);
+        ClientRequest request = new ClientRequest(++lastRequestNumber, statement, receivedAt, slot);
+        if (result instanceof Classifier.Limited limited) {
+            context.counters().add(Counters.Count.LIMITED);
+            context.counters().add(Counters.Count.REFUSED);
+            request.answer(refusalMessage(limited.retryAfterNanos()));
         } else {
-            wiring.counters().add(Counters.Count.BAD_QUERIES);
-            request.answer(withReady(MessageWriter.error(SqlState.SYNTAX_ERROR, ((Classifier.Unknown) answer).reason())));
+            context.counters().add(Counters.Count.BAD_QUERIES);
+            request.answer(withReadyForQuery(MessageWriter.error(SqlState.SYNTAX_ERROR, ((Classifier.Unknown) result).reason())));
         }
         return request;
     }
 
-    private ClientRequest take(Statement statement, ClientConnection.Slot slot, long at, Runnable over) {
-        wiring.counters().add(Counters.Count.REQUESTS);
-        long deadline = at + Clock.millis(Math.min(statement.waitMillis(), LONGEST_WAIT_MILLIS));
-        ClientRequest request = new ClientRequest(++lastNumber, statement, deadline, slot);
-        request.whenOver(over);
-        int index = classes.getOrDefault(statement.className(), -1);
-        String wrong = index < 0 ? "unknown class" : statement.waitMillis() == 0 ? "no time to answer in"
+    private ClientRequest submit(Statement statement, ClientConnection.AnswerSlot slot, long receivedAt, Runnable onEnd) {
+        context.counters().add(Counters.Count.REQUESTS);
+        long deadline = receivedAt + Clock.millisToNanos(Math.min(statement.waitMillis(), MAX_WAIT_MILLIS));
+        ClientRequest request = new ClientRequest(++lastRequestNumber, statement, deadline, slot);
+        request.onEnd(onEnd);
+        int classIndex = classIndexes.getOrDefault(statement.className(), -1);
+        String error = classIndex < 0 ? "unknown class" : statement.waitMillis() == 0 ? "no time to answer in"
             : !members.knowsGroup(statement.group()) ? "unknown cluster"
-            : ids.getOrDefault(statement.id(), Long.MIN_VALUE) > wiring.loop().now() ? "this id is in use" : null;
-        if (wrong != null) {
-            wiring.counters().add(Counters.Count.BAD_QUERIES);
-            request.answer(withReady(MessageWriter.error(SqlState.SYNTAX_ERROR, wrong)));
+            : reservedUntil.getOrDefault(statement.id(), Long.MIN_VALUE) > context.loop().now() ? "this id is in use" : null;
+        if (error != null) {
+            context.counters().add(Counters.Count.BAD_QUERIES);
+            request.answer(withReadyForQuery(MessageWriter.error(SqlState.SYNTAX_ERROR, error)));
             return request;
         }
         LOG.debug("event=request id={} number={} class={} group={} left_ms={}", statement.id(), request.number(),
-            statement.className(), statement.group(), Clock.toMillis(deadline - wiring.loop().now()));
-        remember(statement.id(), deadline + answerSlack);
+            statement.className(), statement.group(), Clock.nanosToMillis(deadline - context.loop().now()));
+        reserveId(statement.id(), deadline + answerSlackNanos);
         requests.put(request.number(), request);
-        request.watch(wiring.loop().at(deadline + answerSlack, () -> overdue(request)));
-        wiring.loop().tell(arrival(request, index));
+        request.setOverdueTimer(context.loop().runAt(deadline + answerSlackNanos, () -> failOverdue(request)));
+        context.loop().postEvent(arrivalOf(request, classIndex));
         return request;
     }
 
-    private void remember(String id, long until) {
-        ids.remove(id);
-        ids.put(id, until);
-        if (ids.size() > MOST_IDS) {
-            ids.remove(ids.keySet().iterator().next());
+    private void reserveId(String id, long until) {
+        reservedUntil.remove(id);
+        reservedUntil.put(id, until);
+        if (reservedUntil.size() > MAX_RESERVED_IDS) {
+            reservedUntil.remove(reservedUntil.keySet().iterator().next());
         }
     }
 
-    private RoutingPolicy.Arrival arrival(ClientRequest request, int index) {
+    private RoutingPolicy.Arrival arrivalOf(ClientRequest request, int classIndex) {
         Statement statement = request.statement();
-        Need need = settings.classes().get(index).need();
-        boolean sessions = need == Need.WRITE || need == Need.SESSION;
+        Need need = settings.classes().get(classIndex).need();
+        boolean usesSession = need == Need.WRITE || need == Need.SESSION;
         long writtenAt = Clock.ofUnixMillis(statement.writtenAtMillis());
-        boolean token = need == Need.SESSION && settings.data().tokensCarried() && writtenAt != 0;
-        long now = wiring.loop().now();
+        boolean hasToken = need == Need.SESSION && settings.data().tokensCarried() && writtenAt != 0;
+        long now = context.loop().now();
         return new RoutingPolicy.Arrival(
-            request.number(), index, tenant(statement.tenant()),
-            statement.group(), sessions ? statement.sessionKey() : RoutingPolicy.NONE, request.deadline() - now,
-            token ? Math.max(0, now - writtenAt) : RoutingPolicy.NONE, statement.retry());
+            request.number(), classIndex, tenantIndex(statement.tenant()),
+            statement.group(), usesSession ? statement.sessionKey() : RoutingPolicy.NONE, request.deadline() - now,
+            hasToken ? Math.max(0, now - writtenAt) : RoutingPolicy.NONE, statement.retry());
     }
 
-    /** Tenants that the settings don't list share the index behind theirs: whoever makes names up gets no memory. */
-    private int tenant(String name) {
-        return name.isEmpty() ? 0 : tenants.getOrDefault(name, settings.tenants().size());
+    /** All tenants that the settings don't list share one index after theirs, so that invented names take no memory. */
+    private int tenantIndex(String name) {
+        return name.isEmpty() ? 0 : tenantIndexes.getOrDefault(name, settings.tenants().size());
     }
 
-    /** The policy has left a request without an answer for too long: the client is told so. */
-    private void overdue(ClientRequest request) {
-        if (request.answer(failure("no answer in time"))) {
-            wiring.counters().add(Counters.Count.OVERDUE);
-            log(request, "overdue");
-            wiring.loop().tell(new RoutingPolicy.Lapsed(request.number()));
-            forgetIfOver(request);
+    /** Fails a request that the policy has left without an answer until after its deadline. */
+    private void failOverdue(ClientRequest request) {
+        if (request.answer(failureMessage("no answer in time"))) {
+            context.counters().add(Counters.Count.OVERDUE);
+            logRequestEnd(request, "overdue");
+            context.loop().postEvent(new RoutingPolicy.Lapsed(request.number()));
+            removeIfComplete(request);
         }
     }
 
     @Override
-    public void lapsed(ClientRequest request) {
-        if (request.isOver()) {
+    public void requestAbandoned(ClientRequest request) {
+        if (request.isEnded()) {
             return;
         }
         request.end();
         if (request.attempts().isEmpty()) {
-            ids.remove(request.statement().id()); // its client may ask once more on another connection
+            reservedUntil.remove(request.statement().id()); // the client may send it again on another connection
         }
-        wiring.counters().add(Counters.Count.LAPSED);
-        log(request, "client_gone");
-        wiring.loop().tell(new RoutingPolicy.Lapsed(request.number()));
-        forgetIfOver(request);
+        context.counters().add(Counters.Count.LAPSED);
+        logRequestEnd(request, "client_gone");
+        context.loop().postEvent(new RoutingPolicy.Lapsed(request.number()));
+        removeIfComplete(request);
     }
 
-    // ---- What the policy asks for
+    // ---- Actions of the policy
 
     void send(RoutingPolicy.Send send) {
         ClientRequest request = requests.get(send.request());
         if (request == null) {
             return;
         }
-        long now = wiring.loop().now();
-        long left = request.deadline() - now;
-        long timeout = send.timeout() == 0 ? left : Math.min(send.timeout(), left);
-        int index = classes.getOrDefault(request.statement().className(), 0);
-        boolean repeatable = settings.classes().get(index).effect() == RoutingPolicy.Effect.IDEMPOTENT;
-        Attempt attempt = new Attempt(request, send.member(), now, timeout, repeatable, this);
-        HostPool host = members.host(send.member());
-        boolean second = request.hasOpenAttempt() && !settings.limits().parallelTries();
+        long now = context.loop().now();
+        long remainingNanos = request.deadline() - now;
+        long timeoutNanos = send.timeout() == 0 ? remainingNanos : Math.min(send.timeout(), remainingNanos);
+        int classIndex = classIndexes.getOrDefault(request.statement().className(), 0);
+        boolean idempotent = settings.classes().get(classIndex).effect() == RoutingPolicy.Effect.IDEMPOTENT;
+        Attempt attempt = new Attempt(request, send.member(), now, timeoutNanos, idempotent, this);
+        HostPool pool = members.host(send.member());
+        boolean forbiddenParallel = request.hasOpenAttempt() && !settings.limits().parallelTries();
         request.attempts().add(attempt);
-        wiring.counters().add(Counters.Count.ATTEMPTS);
-        if (request.isOver() || timeout <= 0 || second || host == null
+        context.counters().add(Counters.Count.ATTEMPTS);
+        if (request.isEnded() || timeoutNanos <= 0 || forbiddenParallel || pool == null
                 || request.attempts().size() > settings.limits().maxAttempts()) {
             attempt.ended(AttemptOutcome.NEVER_SENT, new Reply(), now);
-        } else if (!host.hasIdleFor(attempt) && !wiring.descriptors().roomForTraffic() && !makeRoom()) {
+        } else if (!pool.hasIdleFor(attempt) && !context.descriptors().roomForTraffic() && !freeDescriptor()) {
             attempt.ended(AttemptOutcome.NO_DESCRIPTOR, new Reply(), now);
         } else {
-            EventLoop.Timer timer = wiring.loop().in(timeout,
-                () -> attempt.giveUp(AttemptOutcome.TIMED_OUT, wiring.loop().now()));
-            attempt.carriedBy(host.run(attempt), timer);
+            EventLoop.Timer timer = context.loop().runAfter(timeoutNanos,
+                () -> attempt.abort(AttemptOutcome.TIMED_OUT, context.loop().now()));
+            attempt.attach(pool.run(attempt), timer);
         }
     }
 
     void refuse(RoutingPolicy.Refuse refuse) {
-        answer(refuse.request(), refusal(refuse.retryAfter()), Counters.Count.REFUSED);
+        answer(refuse.request(), refusalMessage(refuse.retryAfter()), Counters.Count.REFUSED);
     }
 
-    private static void log(ClientRequest request, String how) {
-        LOG.debug("event=request_ended id={} how={} attempts={}", request.statement().id(), how, request.attempts().size());
+    private static void logRequestEnd(ClientRequest request, String outcome) {
+        LOG.debug("event=request_ended id={} how={} attempts={}", request.statement().id(), outcome, request.attempts().size());
     }
 
-    private static byte[] refusal(long retryAfter) {
-        String detail = retryAfter > 0 ? Long.toString(Clock.toMillis(retryAfter)) : null;
-        return withReady(MessageWriter.error(SqlState.TOO_MANY_CONNECTIONS, "refused: trying again is harmless", detail));
+    private static byte[] refusalMessage(long retryAfterNanos) {
+        String detail = retryAfterNanos > 0 ? Long.toString(Clock.nanosToMillis(retryAfterNanos)) : null;
+        return withReadyForQuery(MessageWriter.error(SqlState.TOO_MANY_CONNECTIONS, "refused: trying again is harmless", detail));
     }
 
     void fail(RoutingPolicy.Fail fail) {
-        answer(fail.request(), failure("the request failed"), Counters.Count.FAILED);
+        answer(fail.request(), failureMessage("the request failed"), Counters.Count.FAILED);
     }
 
     private void answer(long number, byte[] message, Counters.Count count) {
         ClientRequest request = requests.get(number);
         if (request != null && request.answer(message)) {
-            wiring.counters().add(count);
-            log(request, count.name().toLowerCase(Locale.ROOT));
-            forgetIfOver(request);
+            context.counters().add(count);
+            logRequestEnd(request, count.name().toLowerCase(Locale.ROOT));
+            removeIfComplete(request);
         }
     }
 
     void cancel(RoutingPolicy.Cancel cancel) {
         ClientRequest request = requests.get(cancel.request());
         if (request != null && cancel.attempt() < request.attempts().size()) {
-            request.attempts().get(cancel.attempt()).giveUp(AttemptOutcome.GIVEN_UP, wiring.loop().now());
+            request.attempts().get(cancel.attempt()).abort(AttemptOutcome.GIVEN_UP, context.loop().now());
         }
     }
 
-    // ---- What becomes of attempts
+    // ---- Results of attempts
 
     @Override
-    public void served(Attempt attempt, Reply reply) {
-        if (attempt.request().answer(withReady(reply.answer()))) {
-            wiring.counters().add(Counters.Count.SERVED);
+    public void answerReceived(Attempt attempt, Reply reply) {
+        if (attempt.request().answer(withReadyForQuery(reply.answer()))) {
+            context.counters().add(Counters.Count.SERVED);
         }
     }
 
     @Override
-    public void ended(Attempt attempt, AttemptOutcome ending, Reply reply, long at) {
+    public void attemptEnded(Attempt attempt, AttemptOutcome outcome, Reply reply, long endedAt) {
         ClientRequest request = attempt.request();
-        wiring.counters().addEnding(ending);
+        context.counters().addOutcome(outcome);
         LOG.debug("event=attempt_ended id={} attempt={} member={} ending={} ms={}", request.statement().id(), attempt.number(),
-            attempt.member(), ending, Clock.toMillis(Math.max(0, at - attempt.sentAt())));
-        if (ending == AttemptOutcome.BAD_STATEMENT && request.answer(
-                withReady(MessageWriter.error(SqlState.SYNTAX_ERROR, "no member could use this statement")))) {
-            wiring.counters().add(Counters.Count.BAD_QUERIES);
+            attempt.member(), outcome, Clock.nanosToMillis(Math.max(0, endedAt - attempt.sentAt())));
+        if (outcome == AttemptOutcome.BAD_STATEMENT && request.answer(
+                withReadyForQuery(MessageWriter.error(SqlState.SYNTAX_ERROR, "no member could use this statement")))) {
+            context.counters().add(Counters.Count.BAD_QUERIES);
         }
-        wiring.loop().tell(new RoutingPolicy.Outcome(
-            request.number(), attempt.number(), attempt.member(), ending.result(), Math.max(0, at - attempt.sentAt()),
-            request.isOver(), HostReports.role(reply), HostReports.position(reply, at), HostReports.report(reply, at)));
-        forgetIfOver(request);
+        context.loop().postEvent(new RoutingPolicy.Outcome(
+            request.number(), attempt.number(), attempt.member(), outcome.result(), Math.max(0, endedAt - attempt.sentAt()),
+            request.isEnded(), HostReports.role(reply), HostReports.position(reply, endedAt),
+            HostReports.report(reply, endedAt)));
+        removeIfComplete(request);
     }
 
-    private void forgetIfOver(ClientRequest request) {
-        if (request.isOver() && !request.hasOpenAttempt()) {
+    private void removeIfComplete(ClientRequest request) {
+        if (request.isEnded() && !request.hasOpenAttempt()) {
             requests.remove(request.number());
         }
     }
 
-    private static byte[] failure(String text) {
-        return withReady(MessageWriter.error(SqlState.CONNECTION_FAILURE, text));
+    private static byte[] failureMessage(String text) {
+        return withReadyForQuery(MessageWriter.error(SqlState.CONNECTION_FAILURE, text));
     }
 
-    private static byte[] withReady(byte[] message) {
+    private static byte[] withReadyForQuery(byte[] message) {
         return MessageWriter.join(message, MessageWriter.readyForQuery());
     }
 
-    // ---- The end
+    // ---- Status and shutdown
 
-    /** What is open now, for whoever asks. */
-    String view() {
-        return clients.size() + " clients (" + silent.size() + " silent, " + idle.size() + " idle), "
-            + requests.size() + " requests in hand, " + ids.size() + " ids remembered";
+    /** A summary of the open connections and requests, for the log. */
+    String summary() {
+        return clients.size() + " clients (" + silentClients.size() + " silent, " + idleClients.size() + " idle), "
+            + requests.size() + " requests in hand, " + reservedUntil.size() + " ids remembered";
     }
 
+    /** The numbers of requests, clients and reserved ids, by which tests see that none are left over. */
     String sizes() {
-        return "requests " + requests.size() + ", clients " + clients.size() + ", ids " + ids.size();
+        return "requests " + requests.size() + ", clients " + clients.size() + ", ids " + reservedUntil.size();
     }
 
-    /** From now on connections close once nothing of theirs is in hand; new ones after their first answer. */
+    /** Closes each connection once its commands are answered; new ones close after their first answer. */
     void drain() {
         draining = true;
-        new ArrayList<>(clients).forEach(ClientConnection::closeAfterAnswers);
+        new ArrayList<>(clients).forEach(ClientConnection::closeWhenAnswered);
     }
 
-    /** Whatever has no answer yet fails. */
-    void failAll() {
+    /** Fails every request that has no answer yet. */
+    void failUnanswered() {
         for (ClientRequest request : List.copyOf(requests.values())) {
-            if (request.answer(failure("the router stops"))) {
-                wiring.counters().add(Counters.Count.FAILED);
+            if (request.answer(failureMessage("the router stops"))) {
+                context.counters().add(Counters.Count.FAILED);
             }
         }
     }
--- a/router/src/main/java/ledgewall/net/Router.java
+++ b/router/src/main/java/ledgewall/net/Router.java
@@ -11,19 +11,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One router: it serves from its start until it is drained or closed. Any program can embed it. */
+/** One router, which serves from its start until it is drained or closed. May be embedded in any program. */
 public final class Router implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
-    /** How long new connections may still come after a planned stop has begun, and a little more. */
-    private static final long STILL_ACCEPTED = Clock.millis(450);
-    /** A stopped process may be killed after its longest deadline, counted as 3 s where it is longer, and 0.7 s more. */
-    private static final long LONGEST_STOP = Clock.millis(3_000);
-    /** Of those 0.7 s all but what the last answers and the process's own end need. */
-    private static final long BEFORE_THE_END = Clock.millis(400);
-    /** Part of a stop in which clients are served on the connections they have; the rest is for what is in hand then. */
-    private static final double SERVED_ON = 0.6;
-    /** How often what has no timer of its own is looked after: connections that grow old. */
-    private static final long SWEEP = Clock.millis(250);
+    /** Time from the start of a planned stop in which new connections are still accepted, with a small margin. */
+    private static final long ACCEPT_GRACE_NANOS = Clock.millisToNanos(450);
+    /**
+     * Longest request deadline that a stop takes into account. A process that stops may be killed 0.7 s after its longest
+     * deadline, or after this one where that is longer.
+     */
+    private static final long MAX_STOP_DEADLINE_NANOS = Clock.millisToNanos(3_000);
+    /** The part of the 0.7 s that requests may use; the rest is for writing the last answers and ending the process. */
+    private static final long AFTER_DEADLINE_NANOS = Clock.millisToNanos(400);
+    /** Share of a stop in which clients are served on their connections; the rest is for the requests then in flight. */
+    private static final double SERVING_SHARE_OF_STOP = 0.6;
+    /** Interval of the sweep that handles what has no timer of its own, such as connections that time out. */
+    private static final long SWEEP_INTERVAL_NANOS = Clock.millisToNanos(250);
 
     private RouterConfig config;
     private final Clock clock = Clock.ofSystem();
@@ -31,11 +34,11 @@
     private final EventLoop loop = new EventLoop(clock, counters);
     private final Transport transport;
     private final Members members;
-    private final RequestDispatcher desk;
+    private final RequestDispatcher dispatcher;
     private final Discovery discovery;
     private final Peers peers;
-    private final Wiring wiring;
-    private final Thread thread = new Thread(loop, "ledgewall-loop");
+    private final RouterContext context;
+    private final Thread loopThread = new Thread(loop, "ledgewall-loop");
     private final CountDownLatch closed = new CountDownLatch(1);
     private boolean draining;
 
@@ -43,16 +46,16 @@
         this.config = config;
         Descriptors descriptors = new Descriptors(config.sockets());
         this.transport = new Transport(clock, loop, counters, descriptors.forAccepting());
-        this.wiring = new Wiring(clock, loop, transport, descriptors, counters, new BufferedBytes(),
+        this.context = new RouterContext(clock, loop, transport, descriptors, counters, new BufferedBytes(),
             new IdleConnections(counters, descriptors.forIdleHosts(), config.transport().connIdle()),
             config.transport().connectTimeout());
-        this.members = new Members(wiring, config.vocabulary());
-        this.desk = new RequestDispatcher(wiring, config, members, classifier);
-        this.discovery = new Discovery(wiring, config, members, pace);
-        this.peers = new Peers(wiring, config);
-        loop.catchUpBy(transport::catchUp);
-        transport.whenShort(desk::makeRoomForClients);
-        loop.decideBy(factory.create(config.settings(), config.seed()), this::carryOut);
+        this.members = new Members(context, config.vocabulary());
+        this.dispatcher = new RequestDispatcher(context, config, members, classifier);
+        this.discovery = new Discovery(context, config, members, pace);
+        this.peers = new Peers(context, config);
+        loop.setInputReader(transport::catchUp);
+        transport.whenShort(dispatcher::freeDescriptorForPendingClient);
+        loop.setPolicy(factory.create(config.settings(), config.seed()), this::execute);
     }
 
     /** Starts a router and returns once it listens. */
@@ -60,7 +63,7 @@
         return start(config, factory, MemberListWatcher.Pace.USUAL, null);
     }
 
-    /** Starts a router that also takes statements without the comment, as what the classifier says that they are. */
+    /** Starts a router that also accepts statements without a routing comment, which the classifier classifies. */
     public static Router start(RouterConfig config, RoutingPolicy.Factory factory, Classifier classifier) throws IOException {
         return start(config, factory, MemberListWatcher.Pace.USUAL, classifier);
     }
@@ -87,26 +90,27 @@
             members.learn(config.known(), ListKind.REMEMBERED);
             discovery.start();
             sweep();
-            loop.post(() -> ready.complete(null)); // the turn after the one that decides on the known list
+            loop.post(() -> ready.complete(null)); // one turn after the policy has received the known members
         });
-        thread.setDaemon(true);
-        thread.start();
+        loopThread.setDaemon(true);
+        loopThread.start();
         ready.join();
-        transport.listen(config.listen(), () -> new ClientConnection(wiring, desk));
-        LOG.info("{} listens on {}, {} members known, {} descriptors at most, router {} of {}", config.name(), listening(),
+        transport.listen(config.listen(), () -> new ClientConnection(context, dispatcher));
+        LOG.info("{} listens on {}, {} members known, {} descriptors at most, router {} of {}", config.name(), listenAddress(),
             config.known().members().size(), config.sockets(), config.settings().rank(), config.settings().routers());
     }
 
-    /** Where clients connect. */
-    public InetSocketAddress listening() {
+    /** The address at which the router accepts clients. */
+    public InetSocketAddress listenAddress() {
         return transport.listening();
     }
 
-    InetSocketAddress peersListening() {
+    /** The address at which the router receives datagrams from its peers. */
+    InetSocketAddress peerAddress() {
         return peers.listening();
     }
 
-    /** Everything counted so far, on one line. */
+    /** All counters, on one line. */
     public String counters() {
         return counters.toString();
     }
@@ -115,26 +119,26 @@
         return counters;
     }
 
-    /** How much is kept of what comes and goes; asked of the loop, which owns it. */
+    /** The numbers of members, requests, clients and ids that are held, read on the event loop. */
     String sizes() {
         CompletableFuture<String> sizes = new CompletableFuture<>();
-        loop.post(() -> sizes.complete("members " + members.size() + ", " + desk.sizes()));
+        loop.post(() -> sizes.complete("members " + members.size() + ", " + dispatcher.sizes()));
         return sizes.join();
     }
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         if (action instanceof RoutingPolicy.Send send) {
-            desk.send(send);
+            dispatcher.send(send);
         } else if (action instanceof RoutingPolicy.Refuse refuse) {
-            desk.refuse(refuse);
+            dispatcher.refuse(refuse);
         } else if (action instanceof RoutingPolicy.Fail fail) {
-            desk.fail(fail);
+            dispatcher.fail(fail);
         } else if (action instanceof RoutingPolicy.Cancel cancel) {
-            desk.cancel(cancel);
+            dispatcher.cancel(cancel);
         } else if (action instanceof RoutingPolicy.Probe probe) {
             probe(probe.member());
         } else if (action instanceof RoutingPolicy.SetTimer timer) {
-            loop.at(timer.at(), () -> loop.tell(new RoutingPolicy.TimerDue(timer.handle())));
+            loop.runAt(timer.at(), () -> loop.postEvent(new RoutingPolicy.TimerDue(timer.handle())));
         } else if (action instanceof RoutingPolicy.Subscribe) {
             discovery.subscribe();
         } else if (action instanceof RoutingPolicy.FetchList) {
@@ -148,57 +152,57 @@
         } else if (action instanceof RoutingPolicy.Note note) {
             LOG.info("policy: {}", note.text());
         } else {
-            throw new IllegalStateException("nothing carries out " + action);
+            throw new IllegalStateException("unhandled action: " + action);
         }
     }
 
     private void probe(String member) {
-        HostPool host = members.host(member);
-        if (host != null) {
-            new Probe(wiring, member, config.transport().reports()).start(host);
+        HostPool pool = members.host(member);
+        if (pool != null) {
+            new Probe(context, member, config.transport().reports()).start(pool);
         }
     }
 
     private void disconnect(String member) {
-        HostPool host = members.host(member);
-        if (host != null) {
-            host.closeIdle();
+        HostPool pool = members.host(member);
+        if (pool != null) {
+            pool.closeIdle();
         }
     }
 
     private void sweep() {
         members.sweep();
-        desk.sweep();
-        loop.in(SWEEP, this::sweep);
+        dispatcher.sweep();
+        loop.runAfter(SWEEP_INTERVAL_NANOS, this::sweep);
     }
 
     /**
-     * Takes over what may change while the router runs: where discovery is. All that is in hand goes on, and so does
-     * what is known of the members: the new file's list may be older. Returns at once.
+     * Applies the only setting that may change while the router runs: the address of discovery. Requests in flight continue,
+     * and the current member list stays, since the one in the new file may be older. Returns at once.
      */
     public void reload(RouterConfig changed) {
         loop.post(() -> {
             counters.add(Counters.Count.RELOADS);
             discovery.moveTo(changed.discovery());
-            RouterConfig same = config.withDiscovery(changed);
-            if (!same.equals(changed)) {
+            RouterConfig reloaded = config.withDiscovery(changed);
+            if (!reloaded.equals(changed)) {
                 LOG.warn("{}: the new configuration changes more than 'discovery': the rest needs a restart", config.name());
             }
-            config = same;
+            config = reloaded;
             LOG.info("{}: {}", config.name(), counters);
-            LOG.info("{}: {} descriptors held, longest turn {} ms, {}, members {}", config.name(), wiring.descriptors().held(),
-                Clock.toMillis(loop.longestTurn()), desk.view(), members.view());
+            LOG.info("{}: {} descriptors held, longest turn {} ms, {}, members {}", config.name(), context.descriptors().held(),
+                Clock.nanosToMillis(loop.longestTurnNanos()), dispatcher.summary(), members.view());
         });
     }
 
-    /** Has another classifier say what requests are from now on; those in hand keep what was said. Returns at once. */
-    public void classifyBy(Classifier classifier) {
-        loop.post(() -> desk.classifyBy(classifier));
+    /** Replaces the classifier; requests already classified are not classified again. Returns at once. */
+    public void setClassifier(Classifier classifier) {
+        loop.post(() -> dispatcher.setClassifier(classifier));
     }
 
     /**
-     * Begins a planned stop: clients are served on the connections they have for a while, since their other routers may
-     * be restarting too; then what was taken is answered, and the router closes. Returns at once.
+     * Begins a planned stop. Clients are served on their existing connections for a while, since the other routers that they
+     * could use may be restarting too; then the requests in flight are answered, and the router closes. Returns at once.
      */
     public void drain() {
         loop.post(() -> {
@@ -207,44 +211,45 @@
             }
             draining = true;
             LOG.info("{} drains", config.name());
-            long longest = config.transport().longestDeadline();
-            long last = (longest > 0 ? Math.min(longest, LONGEST_STOP) : LONGEST_STOP) + BEFORE_THE_END;
-            loop.in(STILL_ACCEPTED, this::stopAccepting);
-            loop.in(Math.max(STILL_ACCEPTED, (long) (last * SERVED_ON)), this::closeClients);
-            loop.in(last, this::failAll);
+            long longestNanos = config.transport().longestDeadline();
+            long stopNanos = (longestNanos > 0 ? Math.min(longestNanos, MAX_STOP_DEADLINE_NANOS) : MAX_STOP_DEADLINE_NANOS)
+                + AFTER_DEADLINE_NANOS;
+            loop.runAfter(ACCEPT_GRACE_NANOS, this::stopAccepting);
+            loop.runAfter(Math.max(ACCEPT_GRACE_NANOS, (long) (stopNanos * SERVING_SHARE_OF_STOP)), this::closeClients);
+            loop.runAfter(stopNanos, this::failUnanswered);
         });
     }
 
     private void stopAccepting() {
-        // not on the loop: unbinding waits for the acceptor's thread, which must not wait for the loop
+        // on a thread of its own: unbinding waits for the acceptor's thread, which must not wait for the loop
         Thread unbind = new Thread(transport::stopListening, "ledgewall-unbind");
         unbind.start();
     }
 
     private void closeClients() {
-        desk.drain();
-        finishWhenDrained();
+        dispatcher.drain();
+        shutDownWhenDrained();
     }
 
-    /** The process will be killed soon: what is unanswered fails now rather than being lost. */
-    private void failAll() {
-        desk.failAll();
-        loop.in(FLUSH, this::finish);
+    /** Fails the requests that are unanswered shortly before the process may be killed, so that clients get an answer. */
+    private void failUnanswered() {
+        dispatcher.failUnanswered();
+        loop.runAfter(FLUSH_NANOS, this::shutDown);
     }
 
-    private void finishWhenDrained() {
-        if (!desk.hasClients()) {
-            loop.in(FLUSH, this::finish);
+    private void shutDownWhenDrained() {
+        if (!dispatcher.hasClients()) {
+            loop.runAfter(FLUSH_NANOS, this::shutDown);
         } else {
-            loop.in(FLUSH, this::finishWhenDrained);
+            loop.runAfter(FLUSH_NANOS, this::shutDownWhenDrained);
         }
     }
 
-    /** Time in which the kernel takes the last answers. */
-    private static final long FLUSH = Clock.millis(10);
+    /** Time allowed for the kernel to accept the last answers, and the interval at which a drain checks for open clients. */
+    private static final long FLUSH_NANOS = Clock.millisToNanos(10);
 
-    private void finish() {
-        desk.closeClients();
+    private void shutDown() {
+        dispatcher.closeClients();
         loop.stop();
         new Thread(this::close, "ledgewall-close").start();
     }
@@ -254,7 +259,7 @@
         closed.await();
     }
 
-    /** Ends the router at once; what it holds is not answered. */
+    /** Closes the router at once, without answering requests in flight. */
     @Override
     public void close() {
         if (closed.getCount() == 0) {
--- /dev/null
+++ b/router/src/main/java/ledgewall/net/RouterContext.java
@@ -0,0 +1,5 @@
+package ledgewall.net;
+
+/** The components that all parts of one router share. */
+record RouterContext(Clock clock, EventLoop loop, Transport transport, Descriptors descriptors, Counters counters,
+                     BufferedBytes bufferedBytes, IdleConnections idleConnections, long connectTimeoutNanos) { }
--- a/router/src/main/java/ledgewall/net/WarmUp.java
+++ b/router/src/main/java/ledgewall/net/WarmUp.java
@@ -15,99 +15,104 @@
 import ledgewall.pg.Statement;
 
 /**
- * Has the virtual machine compile what each request passes, before the first one comes: parsers and a policy of its own
- * work through made-up requests. On part of a core a router that has just started would otherwise be seconds behind its
- * clients, and take its own slowness for its members'. Nothing of it leaves the process, and nothing of it stays.
+ * Makes the JIT compiler compile the code that every request passes through, before the router accepts clients: synthetic
+ * requests are run through the parsers and a separate instance of the policy. With a fraction of a core, a router that has
+ * just started would otherwise lag seconds behind its clients and attribute its own latency to its members. Nothing is sent,
+ * and no state is kept.
  */
 public final class WarmUp {
-    /** Turns, one request each: the compiler takes up what has been called some hundred times. */
-    private static final int TURNS = 1_500;
-    /** At most this long: a restarted router is missed meanwhile. */
-    private static final long LONGEST = Clock.millis(1_200);
-    /** Up to so many routers each is asked enough to be worth all of that; of more, each gets a share of the requests. */
-    private static final double HANDFUL = 4;
-    private static final long TURN = Clock.millis(3);
-    private static final int MEMBERS = 4;
+    /** Turns at most, one request each; the JIT compiler starts to compile a method after some hundred calls. */
+    private static final int MAX_TURNS = 1_500;
+    /** Longest duration: a router that restarts is unavailable meanwhile. */
+    private static final long MAX_DURATION_NANOS = Clock.millisToNanos(1_200);
+    /**
+     * Up to this number of routers, each receives enough requests to be worth a full warm-up; with more, each receives a smaller
+     * share of the requests, and warms up for less.
+     */
+    private static final double ROUTERS_AT_FULL_WARM_UP = 4;
+    /** Simulated time of one turn, which is also the latency of every synthetic answer. */
+    private static final long TURN_NANOS = Clock.millisToNanos(3);
+    private static final int MEMBER_COUNT = 4;
     private static final byte[] VALUE = new byte[256];
 
     private final RouterConfig config;
     private final RoutingPolicy policy;
-    private final List<Event> next = new ArrayList<>();
+    private final List<Event> nextEvents = new ArrayList<>();
     private long now = Clock.ofSystem().now();
-    private long requests;
+    private long lastRequestNumber;
 
     private WarmUp(RouterConfig config, RoutingPolicy policy) {
         this.config = config;
         this.policy = policy;
     }
 
-    /** Plays through made-up requests; the number of those that were served. */
+    /** Runs synthetic requests and returns the number of those that the policy sent to a member. */
     public static long run(RouterConfig config, RoutingPolicy.Factory factory) {
-        WarmUp rehearsal = new WarmUp(config, factory.create(config.settings(), config.seed()));
-        // Many routers that start at once, as after a release, are missed at once: each rehearses its share.
-        double share = Math.min(1, HANDFUL / config.settings().routers());
-        long end = System.nanoTime() + (long) (share * LONGEST);
+        WarmUp warmUp = new WarmUp(config, factory.create(config.settings(), config.seed()));
+        // Many routers may start together, as after a release, and all be unavailable at once: each warms up for its share only.
+        double share = Math.min(1, ROUTERS_AT_FULL_WARM_UP / config.settings().routers());
+        long endNanoTime = System.nanoTime() + (long) (share * MAX_DURATION_NANOS);
         long served = 0;
         try {
-            rehearsal.list();
-            for (int turn = 0; turn < share * TURNS && System.nanoTime() < end; turn++) {
-                served += rehearsal.turn();
+            warmUp.addMemberList();
+            for (int turn = 0; turn < share * MAX_TURNS && System.nanoTime() < endNanoTime; turn++) {
+                served += warmUp.runTurn();
             }
         } catch (ProtocolException e) {
-            throw new IllegalStateException("the rehearsal's own messages", e);
+            throw new IllegalStateException("the warm-up's own messages violate the protocol", e);
         }
         return served;
     }
 
-    private void list() {
+    private void addMemberList() {
         List<RoutingPolicy.Listing> members = new ArrayList<>();
-        for (int i = 0; i < MEMBERS; i++) {
+        for (int i = 0; i < MEMBER_COUNT; i++) {
             members.add(new RoutingPolicy.Listing("rehearsed-" + i, 0, 0, 0, RoutingPolicy.Phase.SERVING, 1, false, 0));
         }
-        next.add(new RoutingPolicy.MemberList(RoutingPolicy.ListKind.FULL, members));
+        nextEvents.add(new RoutingPolicy.MemberList(RoutingPolicy.ListKind.FULL, members));
     }
 
-    /** One request, whatever the policy then asks for, and the answers that come in the turn after. */
-    private int turn() throws ProtocolException {
+    /** Runs one request and the policy's actions, and queues the results of these for the next turn. */
+    private int runTurn() throws ProtocolException {
         int classes = config.settings().classes().size();
         if (classes > 0) {
-            arrive((int) (requests % classes));
+            addArrival((int) (lastRequestNumber % classes));
         }
-        List<Event> events = List.copyOf(next);
-        next.clear();
+        List<Event> events = List.copyOf(nextEvents);
+        nextEvents.clear();
         int served = 0;
         for (Action action : policy.decide(now, events)) {
             if (action instanceof RoutingPolicy.Send send) {
                 served++;
-                answer(send);
+                addOutcome(send);
             } else if (action instanceof RoutingPolicy.Probe probe) {
-                next.add(new RoutingPolicy.ProbeResult(probe.member(), RoutingPolicy.Result.OK, TURN,
+                nextEvents.add(new RoutingPolicy.ProbeResult(probe.member(), RoutingPolicy.Result.OK, TURN_NANOS,
                     HostReports.report("x0=" + now / 1e9 + ",x1=" + (probe.member().endsWith("-0") ? 1 : 0), now)));
             } else if (action instanceof RoutingPolicy.SetTimer timer) {
-                next.add(new RoutingPolicy.TimerDue(timer.handle()));
+                nextEvents.add(new RoutingPolicy.TimerDue(timer.handle()));
             }
         }
-        now += TURN;
+        now += TURN_NANOS;
         return served;
     }
 
-    private void arrive(int index) throws ProtocolException {
-        RoutingPolicy.RequestClass kind = config.settings().classes().get(index);
-        long wait = Clock.toMillis(kind.deadline());
-        byte[] query = MessageWriter.query("/* id=" + Long.toHexString(now + requests) + ",c="
-            + config.vocabulary().classes().get(index) + ",t=rehearsal,d=" + wait + ",cluster=0 */ "
-            + "INSERT INTO facts (code, data) VALUES ('" + Long.toHexString(requests) + "', '\\x00') RETURNING data");
+    private void addArrival(int classIndex) throws ProtocolException {
+        RoutingPolicy.RequestClass requestClass = config.settings().classes().get(classIndex);
+        long waitMillis = Clock.nanosToMillis(requestClass.deadline());
+        byte[] query = MessageWriter.query("/* id=" + Long.toHexString(now + lastRequestNumber) + ",c="
+            + config.vocabulary().classes().get(classIndex) + ",t=rehearsal,d=" + waitMillis + ",cluster=0 */ "
+            + "INSERT INTO facts (code, data) VALUES ('" + Long.toHexString(lastRequestNumber) + "', '\\x00') RETURNING data");
         List<Frame> frames = new ArrayList<>();
         FrameReader reader = FrameReader.ofClient(query.length);
         reader.feed(ByteBuffer.wrap(MessageWriter.startup("rehearsal", "rehearsal")), frame -> { });
         reader.feed(ByteBuffer.wrap(query), frames::add);
         Statement statement = ((ClientMessage.Query) ClientMessage.of(frames.get(0))).statement();
-        statement.withWait(wait);
-        next.add(new RoutingPolicy.Arrival(++requests, index, 0, 0, statement.sessionKey(), kind.deadline(),
-            RoutingPolicy.NONE, statement.retry()));
+        statement.withWait(waitMillis);
+        nextEvents.add(new RoutingPolicy.Arrival(++lastRequestNumber, classIndex, 0, 0, statement.sessionKey(),
+            requestClass.deadline(), RoutingPolicy.NONE, statement.retry()));
     }
 
-    private void answer(RoutingPolicy.Send send) throws ProtocolException {
+    private void addOutcome(RoutingPolicy.Send send) throws ProtocolException {
         Reply reply = new Reply();
         FrameReader reader = FrameReader.ofHost(Reply.LONGEST_VALUE);
         reader.feed(ByteBuffer.wrap(MessageWriter.welcome()), frame -> { });
@@ -119,7 +124,7 @@
             reply.accept(frame);
         }
         reply.answer();
-        next.add(new RoutingPolicy.Outcome(send.request(), 0, send.member(), RoutingPolicy.Result.OK, TURN, true,
+        nextEvents.add(new RoutingPolicy.Outcome(send.request(), 0, send.member(), RoutingPolicy.Result.OK, TURN_NANOS, true,
             HostReports.role(reply), HostReports.position(reply, now), HostReports.report(reply, now)));
     }
 }
--- a/router/src/main/java/ledgewall/net/Wiring.java
+++ /dev/null
@@ -1,5 +0,0 @@
-package ledgewall.net;
-
-/** What every part of one router shares. */
-record Wiring(Clock clock, EventLoop loop, Transport transport, Descriptors descriptors, Counters counters,
-              BufferedBytes held, IdleConnections idle, long connectTimeout) { }
