--- a/router/src/main/java/ledgewall/net/Attempt.java
+++ b/router/src/main/java/ledgewall/net/Attempt.java
@@ -9,7 +9,7 @@
         /** The complete row has been received, before the end of the reply. */
         void answerReceived(Attempt attempt, Reply reply);
 
-        /** The attempt has ended; {@code reply} holds what was received of one. */
+        /** The attempt has ended; {@code reply} holds what was received of its answer. */
         void attemptEnded(Attempt attempt, AttemptOutcome outcome, Reply reply, long endedAt);
     }
 
--- a/router/src/main/java/ledgewall/net/ClientConnection.java
+++ b/router/src/main/java/ledgewall/net/ClientConnection.java
@@ -256,7 +256,7 @@
         } else if (message instanceof ClientMessage.EmptyQuery && !skipsUntilSync) {
             respond(MessageWriter.join(MessageWriter.emptyQueryResponse(), MessageWriter.readyForQuery()));
         } else if (message instanceof ClientMessage.Unserved unserved && !skipsUntilSync) {
-            refuse(unserved.sqlState(), unserved.reason());
+            rejectCommand(unserved.sqlState(), unserved.reason());
         } else if (message instanceof ClientMessage.Broken broken) {
             closeWithError(broken.reason());
         }
@@ -297,7 +297,7 @@
     }
 
     /** Answers one command with an error that leaves the connection open, unless there were too many. */
-    private void refuse(String sqlState, String reason) {
+    private void rejectCommand(String sqlState, String reason) {
         context.counters().add(Counters.Count.BAD_QUERIES);
         if (++invalidCommands >= MAX_INVALID_COMMANDS) {
             failConnection(reason);
--- a/router/src/test/java/ledgewall/net/ClientConnectionTest.java
+++ b/router/src/test/java/ledgewall/net/ClientConnectionTest.java
@@ -293,10 +293,10 @@
         startEcho();
         Random random = new Random(9);
         for (int round = 0; round < 200; round++) {
-            byte[] noise = new byte[random.nextInt(300)];
-            random.nextBytes(noise);
+            byte[] randomBytes = new byte[random.nextInt(300)];
+            random.nextBytes(randomBytes);
             try (Client client = clientForRandomBytes(round)) {
-                client.send(noise);
+                client.send(randomBytes);
             } catch (IOException e) {
                 // closed by the router while the bytes were being sent
             }
