--- a/router/src/main/java/ledgewall/net/EventLoop.java
+++ b/router/src/main/java/ledgewall/net/EventLoop.java
@@ -134,7 +134,7 @@
     }
 
     private void turn() throws InterruptedException {
-        awaitTasks();
+        poll();
         if (isLate()) {
             // The process was stalled: answers may have arrived in time without being read. They are processed before timeouts.
             counters.add(Counters.Count.LATE_BATCHES);
@@ -163,7 +163,8 @@
         }
     }
 
-    private void awaitTasks() throws InterruptedException {
+    /** Waits for a task, or until a timer is due, and takes all queued tasks. */
+    private void poll() throws InterruptedException {
         removeCancelledHead();
         long waitNanos = !pendingEvents.isEmpty() ? 0 : timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueAt - clock.now();
         Runnable first = waitNanos > 0 ? taskQueue.poll(waitNanos, TimeUnit.NANOSECONDS) : taskQueue.poll();
