--- a/cli/src/main/java/ledgewall/cli/RuleClassifier.java
+++ b/cli/src/main/java/ledgewall/cli/RuleClassifier.java
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public Answer classify(Request request) {
+    public Result classify(Request request) {
         rules.table().decide(attributes.of(request, name), decision);
         if (!decision.matched()) {
             return new Unknown("no rule says what this statement is");
--- a/cli/src/test/java/ledgewall/cli/ClassificationLatencyTest.java
+++ b/cli/src/test/java/ledgewall/cli/ClassificationLatencyTest.java
@@ -48,7 +48,7 @@
             RulesFile rules = RulesFile.read(Path.of("deploy/rules.hcl"), Set.copyOf(config.vocabulary().classes()));
             try (Router plain = Router.start(config, ReplicaRoutingPolicy::new);
                     Router ruled = Router.start(config, ReplicaRoutingPolicy::new, new RuleClassifier(rules, config, null));
-                    Client commented = new Client(plain.listening()); Client bare = new Client(ruled.listening())) {
+                    Client commented = new Client(plain.listenAddress()); Client bare = new Client(ruled.listenAddress())) {
                 for (Client client : List.of(commented, bare)) {
                     client.send(Wire.startup("user", "desk"));
                     client.untilReady();
--- a/cli/src/test/java/ledgewall/cli/EndToEndTest.java
+++ b/cli/src/test/java/ledgewall/cli/EndToEndTest.java
@@ -93,7 +93,7 @@
     }
 
     private Client client(String user) throws IOException {
-        Client client = new Client(router.listening());
+        Client client = new Client(router.listenAddress());
         client.send(Wire.startup("user", user, "database", "songshan"));
         client.untilReady();
         return client;
@@ -174,11 +174,11 @@
         RuleClassifier second = new RuleClassifier(strict, config, classifier);
         try (Client client = client("kiosk-1")) {
             assertEquals("TDC", ask(client, "SELECT free FROM bays"));
-            router.classifyBy(second);
+            router.setClassifier(second);
             assertEquals("42601", ask(client, "SELECT free FROM bays"));
             assertThrows(SettingsException.class, () -> rules(text.replace("sql.writes",
                 "sql.writs")));
-            router.classifyBy(new RuleClassifier(rules(text), config, second));
+            router.setClassifier(new RuleClassifier(rules(text), config, second));
             assertEquals("TDC", ask(client, "SELECT free FROM bays"));
         }
     }
--- a/router/src/main/java/ledgewall/Service.java
+++ b/router/src/main/java/ledgewall/Service.java
@@ -84,7 +84,7 @@
         if (classifiers != null && changed != null) {
             try {
                 classifier = classifiers.read(changed, classifier);
-                router.classifyBy(classifier);
+                router.setClassifier(classifier);
                 LOG.info("the rules are taken over");
             } catch (FormatException e) {
                 LOG.warn("the rules stay as they are: {}", e.getMessage());
--- a/router/src/main/java/ledgewall/net/Discovery.java
+++ b/router/src/main/java/ledgewall/net/Discovery.java
@@ -27,7 +27,7 @@
 final class Discovery {
     private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
 
-    private final Wiring wiring;
+    private final RouterContext wiring;
     private final Members members;
     private final MemberListWatcher follower;
     /** Connections of the follower's open calls; each leaves when the follower says so. */
@@ -36,7 +36,7 @@
     private long timerDue = Long.MAX_VALUE;
     private InetSocketAddress address;
 
-    Discovery(Wiring wiring, RouterConfig config, Members members, MemberListWatcher.Pace pace) {
+    Discovery(RouterContext wiring, RouterConfig config, Members members, MemberListWatcher.Pace pace) {
         this.wiring = wiring;
         this.members = members;
         this.address = config.discovery();
@@ -83,7 +83,7 @@
             } else if (step instanceof MemberListWatcher.Learn learn) {
                 learn(learn.update(), learn.from());
             } else if (step instanceof MemberListWatcher.Failed) {
-                wiring.loop().tell(new RoutingPolicy.MemberList(ListKind.FAILED, List.of()));
+                wiring.loop().postEvent(new RoutingPolicy.MemberList(ListKind.FAILED, List.of()));
             }
         }
         setTimer();
@@ -108,7 +108,7 @@
             timer.cancel();
         }
         timerDue = due;
-        timer = due == Long.MAX_VALUE ? null : wiring.loop().at(due, () -> {
+        timer = due == Long.MAX_VALUE ? null : wiring.loop().runAt(due, () -> {
             timerDue = Long.MAX_VALUE;
             carryOut(follower.tick(now()));
         });
--- a/router/src/main/java/ledgewall/net/HostConnection.java
+++ b/router/src/main/java/ledgewall/net/HostConnection.java
@@ -23,7 +23,7 @@
 
     private enum Stage { CONNECTING, GREETING, IDLE, BUSY, CLOSED }
 
-    private final Wiring wiring;
+    private final RouterContext wiring;
     private final FrameReader frames = FrameReader.ofHost(LONGEST_MESSAGE);
     private final Greeting greeting = new Greeting();
     private final Consumer<HostConnection> whenIdle;
@@ -41,7 +41,7 @@
     private long idleSince;
     private boolean idleAfterProbe;
 
-    HostConnection(Wiring wiring, Consumer<HostConnection> whenIdle, Consumer<HostConnection> whenClosed) {
+    HostConnection(RouterContext wiring, Consumer<HostConnection> whenIdle, Consumer<HostConnection> whenClosed) {
         this.wiring = wiring;
         this.whenIdle = whenIdle;
         this.whenClosed = whenClosed;
@@ -52,8 +52,8 @@
         exchange = first;
         wiring.descriptors().take();
         wiring.counters().add(Counters.Count.HOST_CONNECTIONS);
-        if (wiring.connectTimeout() > 0) {
-            connectTimer = wiring.loop().in(wiring.connectTimeout(), this::connectTimedOut);
+        if (wiring.connectTimeoutNanos() > 0) {
+            connectTimer = wiring.loop().runAfter(wiring.connectTimeoutNanos(), this::connectTimedOut);
         }
         connecting = wiring.transport().connect(address, this,
             () -> fail(AttemptOutcome.CONNECT_REFUSED, wiring.loop().now()));
@@ -145,7 +145,7 @@
     private void greet(Frame frame, long at) throws ProtocolException {
         greeting.accept(frame);
         if (greeting.sqlState() != null) {
-            fail(AttemptOutcome.ofGreeting(greeting.sqlState()), at);
+            fail(AttemptOutcome.ofStartupError(greeting.sqlState()), at);
         } else if (greeting.ready()) {
             cancelConnectTimer();
             begin();
--- a/router/src/main/java/ledgewall/net/HostPool.java
+++ b/router/src/main/java/ledgewall/net/HostPool.java
@@ -16,10 +16,10 @@
      * A connection rests for so long before it carries a request: what a host sends behind its last answer, a second copy or
      * noise, is seen meanwhile and ends the connection, instead of passing for the answer to the next request.
      */
-    private static final long REST = Clock.millis(10);
+    private static final long REST = Clock.millisToNanos(10);
     private static final int USUAL_CONNECTIONS = 2;
 
-    private final Wiring wiring;
+    private final RouterContext wiring;
     /** The newest first. */
     private final Deque<HostConnection> idle = new ArrayDeque<>(USUAL_CONNECTIONS);
     private final Set<HostConnection> retiring = new HashSet<>(USUAL_CONNECTIONS);
@@ -27,7 +27,7 @@
     private InetSocketAddress address;
     private long lastAnswer;
 
-    HostPool(Wiring wiring, InetSocketAddress address) {
+    HostPool(RouterContext wiring, InetSocketAddress address) {
         this.wiring = wiring;
         this.address = address;
     }
@@ -58,7 +58,7 @@
         HostConnection connection = usable;
         if (connection != null) {
             idle.remove(connection);
-            wiring.idle().remove(connection);
+            wiring.idleConnections().remove(connection);
             connection.start(exchange);
             return connection;
         }
@@ -69,13 +69,13 @@
     }
 
     boolean hasIdleFor(Attempt attempt) {
-        wiring.idle().closeOld(wiring.loop().now());
+        wiring.idleConnections().closeOld(wiring.loop().now());
         return idleFor(attempt) != null;
     }
 
     /** Probes follow at once on one another, as pings do; a report taken for the next one's tells no client anything. */
     boolean hasIdleForProbe() {
-        wiring.idle().closeOld(wiring.loop().now());
+        wiring.idleConnections().closeOld(wiring.loop().now());
         return !idle.isEmpty();
     }
 
@@ -83,7 +83,7 @@
     private HostConnection idleFor(Attempt attempt) {
         long rested = wiring.loop().now() - REST;
         for (HostConnection connection : idle) {
-            if (connection.idleSince() <= rested || attempt.isRepeatable() && connection.isIdleAfterProbe()) {
+            if (connection.idleSince() <= rested || attempt.isIdempotent() && connection.isIdleAfterProbe()) {
                 return connection;
             }
         }
@@ -115,13 +115,13 @@
             connection.close();
         } else {
             idle.addFirst(connection);
-            wiring.idle().add(connection);
+            wiring.idleConnections().add(connection);
         }
     }
 
     private void forget(HostConnection connection) {
         idle.remove(connection);
-        wiring.idle().remove(connection);
+        wiring.idleConnections().remove(connection);
         retiring.remove(connection);
         all.remove(connection);
     }
--- a/router/src/main/java/ledgewall/net/HostReports.java
+++ b/router/src/main/java/ledgewall/net/HostReports.java
@@ -13,7 +13,7 @@
     private static final String WAL_TIME = "wal_time";
     private static final String STATS = "stats";
     /** All machines read one clock; a position later than now by more than rounding is none. */
-    private static final long CLOCKS_APART = Clock.millis(100);
+    private static final long CLOCKS_APART = Clock.millisToNanos(100);
     private static final int LONGEST_REPORT = 1_024;
 
     private HostReports() {
--- a/router/src/main/java/ledgewall/net/Members.java
+++ b/router/src/main/java/ledgewall/net/Members.java
@@ -19,7 +19,7 @@
 
 /** The members by id: where each is reached, over which connections, and what the policy is told of it. */
 final class Members {
-    private final Wiring wiring;
+    private final RouterContext wiring;
     private final NameInterner zones;
     private final NameInterner kinds;
     private final Map<String, HostPool> hosts = new LinkedHashMap<>();
@@ -28,7 +28,7 @@
     /** Groups that lists have named: as many as the deployment has. */
     private final Set<Long> groups = new HashSet<>();
 
-    Members(Wiring wiring, Vocabulary vocabulary) {
+    Members(RouterContext wiring, Vocabulary vocabulary) {
         this.wiring = wiring;
         this.zones = new NameInterner(vocabulary.zones());
         this.kinds = new NameInterner(vocabulary.kinds());
@@ -55,7 +55,7 @@
                 }
             });
         }
-        wiring.loop().tell(new RoutingPolicy.MemberList(kind, update.members().stream().map(this::listing).toList()));
+        wiring.loop().postEvent(new RoutingPolicy.MemberList(kind, update.members().stream().map(this::listing).toList()));
     }
 
     private void place(Member member) {
@@ -116,7 +116,7 @@
         hosts.forEach((id, host) -> {
             if (!host.isEmpty()) {
                 String answered = host.lastAnswer() == 0 ? "none answered yet"
-                    : "answered " + Clock.toMillis(now - host.lastAnswer()) + " ms ago";
+                    : "answered " + Clock.nanosToMillis(now - host.lastAnswer()) + " ms ago";
                 open.add(id + ": " + host.busy() + " in flight, " + host.idle() + " idle, " + answered
                     + (forgotten.containsKey(id) ? ", gone" : ""));
             }
@@ -132,7 +132,7 @@
     /** Forgets the members of which nothing is open any more, and closes connections that have been idle for long. */
     void sweep() {
         forgotten.entrySet().removeIf(entry -> entry.getValue().isEmpty() && hosts.remove(entry.getKey(), entry.getValue()));
-        wiring.idle().closeOld(wiring.loop().now());
+        wiring.idleConnections().closeOld(wiring.loop().now());
     }
 
     void closeAll() {
--- a/router/src/main/java/ledgewall/net/Peers.java
+++ b/router/src/main/java/ledgewall/net/Peers.java
@@ -19,14 +19,14 @@
     /** Room to see that a datagram is too long. */
     private static final int READ_BUFFER = 512;
 
-    private final Wiring wiring;
+    private final RouterContext wiring;
     private final List<InetSocketAddress> peers;
     private final InetSocketAddress everyone;
     private final InetSocketAddress listen;
     private final Map<SocketAddress, Integer> numbers = new HashMap<>();
     private NioDatagramAcceptor socket;
 
-    Peers(Wiring wiring, RouterConfig config) {
+    Peers(RouterContext wiring, RouterConfig config) {
         this.wiring = wiring;
         this.peers = config.peers();
         this.everyone = config.peersAll();
@@ -74,7 +74,7 @@
             return;
         }
         wiring.counters().add(Counters.Count.PEER_MESSAGES_IN);
-        wiring.loop().tell(new RoutingPolicy.PeerMessage(number, content));
+        wiring.loop().postEvent(new RoutingPolicy.PeerMessage(number, content));
     }
 
     private final class Handler extends IoHandlerAdapter {
--- a/router/src/main/java/ledgewall/net/Probe.java
+++ b/router/src/main/java/ledgewall/net/Probe.java
@@ -15,7 +15,7 @@
     private static final byte[] ASK_REPORT = MessageWriter.query("SHOW stats");
     private static final byte[] ASK_HEALTH = MessageWriter.query("SELECT 1");
 
-    private final Wiring wiring;
+    private final RouterContext wiring;
     private final String member;
     private final boolean reports;
     private HostConnection connection;
@@ -23,7 +23,7 @@
     private long startedAt;
     private boolean ended;
 
-    Probe(Wiring wiring, String member, boolean reports) {
+    Probe(RouterContext wiring, String member, boolean reports) {
         this.wiring = wiring;
         this.member = member;
         this.reports = reports;
@@ -32,13 +32,13 @@
 
     void start(HostPool pool) {
         wiring.counters().add(Counters.Count.PROBES);
-        if (!pool.hasIdleForProbe() && !wiring.descriptors().roomForTraffic() && !wiring.idle().closeOldest()) {
+        if (!pool.hasIdleForProbe() && !wiring.descriptors().roomForTraffic() && !wiring.idleConnections().closeOldest()) {
             ended(AttemptOutcome.NO_DESCRIPTOR, new Reply(), wiring.loop().now());
             return;
         }
         connection = pool.run(this);
-        if (!ended && wiring.connectTimeout() > 0) {
-            timer = wiring.loop().in(wiring.connectTimeout(), this::timeOut);
+        if (!ended && wiring.connectTimeoutNanos() > 0) {
+            timer = wiring.loop().runAfter(wiring.connectTimeoutNanos(), this::timeOut);
         }
     }
 
@@ -81,7 +81,7 @@
         boolean notReady = ending == AttemptOutcome.HOST_ERROR && SqlState.CANNOT_CONNECT_NOW.equals(reply.sqlState());
         AttemptOutcome last = notReady ? AttemptOutcome.NOT_READY : ending;
         RoutingPolicy.Report report = last == AttemptOutcome.SERVED && reports ? report(reply, at) : null;
-        wiring.loop().tell(new ProbeResult(member, last.result(), Math.max(1, at - startedAt), report));
+        wiring.loop().postEvent(new ProbeResult(member, last.result(), Math.max(1, at - startedAt), report));
     }
 
     private static RoutingPolicy.Report report(Reply reply, long at) {
--- a/router/src/main/java/ledgewall/net/Transport.java
+++ b/router/src/main/java/ledgewall/net/Transport.java
@@ -41,8 +41,8 @@
     Transport(Clock clock, EventLoop loop, Counters counters, int mostOpen) {
         this.acceptor = new BackpressureAcceptor(processor, () -> open.get() < mostOpen, this::tellShort, nanos -> {
             counters.add(Counters.Count.ACCEPT_PAUSES);
-            counters.add(Counters.Count.ACCEPT_PAUSED_MILLIS, Clock.toMillis(nanos));
-            LOG.debug("event=accept_resumed paused_ms={} sockets={} most={}", Clock.toMillis(nanos), open.get(), mostOpen);
+            counters.add(Counters.Count.ACCEPT_PAUSED_MILLIS, Clock.nanosToMillis(nanos));
+            LOG.debug("event=accept_resumed paused_ms={} sockets={} most={}", Clock.nanosToMillis(nanos), open.get(), mostOpen);
         });
         this.clock = clock;
         this.loop = loop;
--- a/router/src/test/java/ledgewall/net/PartsTest.java
+++ b/router/src/test/java/ledgewall/net/PartsTest.java
@@ -35,7 +35,7 @@
         assertEquals(0, Clock.ofUnixMillis(Double.NaN));
         assertEquals(0, Clock.ofUnixMillis(1e30));
         assertEquals(0, Clock.ofUnixSeconds(-1e30));
-        assertEquals(2, Clock.toMillis(1_000_001));
+        assertEquals(2, Clock.nanosToMillis(1_000_001));
     }
 
     @Test
@@ -80,7 +80,7 @@
         Counters counters = new Counters();
         counters.add(Counters.Count.REQUESTS, 3);
         assertEquals("requests=3", counters.toString());
-        counters.addEnding(AttemptOutcome.TURNED_AWAY);
+        counters.addOutcome(AttemptOutcome.TURNED_AWAY);
         assertEquals("requests=3 | attempts ended: turned_away=1", counters.toString());
     }
 
@@ -93,13 +93,13 @@
         EventLoop loop = new EventLoop(Clock.of(time::get, 0), counters);
         List<List<Event>> batches = new ArrayList<>();
         CountDownLatch done = new CountDownLatch(1);
-        loop.decideBy((now, events) -> {
+        loop.setPolicy((now, events) -> {
             batches.add(events);
             done.countDown();
             return List.of();
         }, action -> { });
-        loop.catchUpBy(() -> loop.post(() -> loop.tell(new Lapsed(1))));
-        loop.in(RouterHarness.MS, () -> loop.tell(new RoutingPolicy.TimerDue(7)));
+        loop.setInputReader(() -> loop.post(() -> loop.postEvent(new Lapsed(1))));
+        loop.runAfter(RouterHarness.MS, () -> loop.postEvent(new RoutingPolicy.TimerDue(7)));
         time.set(500 * RouterHarness.MS);
         Thread thread = new Thread(loop);
         thread.start();
@@ -119,19 +119,19 @@
         EventLoop loop = new EventLoop(Clock.ofSystem(), counters);
         List<List<Event>> batches = new ArrayList<>();
         CountDownLatch done = new CountDownLatch(1);
-        loop.decideBy((now, events) -> {
+        loop.setPolicy((now, events) -> {
             batches.add(events);
             return List.of();
         }, action -> { });
-        EventLoop.Timer cancelled = loop.in(1, () -> loop.tell(new Lapsed(99)));
-        loop.in(1, () -> loop.tell(new RoutingPolicy.TimerDue(7)));
+        EventLoop.Timer cancelled = loop.runAfter(1, () -> loop.postEvent(new Lapsed(99)));
+        loop.runAfter(1, () -> loop.postEvent(new RoutingPolicy.TimerDue(7)));
         cancelled.cancel();
-        loop.post(() -> loop.tell(new Lapsed(1)));
+        loop.post(() -> loop.postEvent(new Lapsed(1)));
         loop.post(() -> {
             throw new IllegalStateException("one task's fault");
         });
-        loop.post(() -> loop.tell(new Lapsed(2)));
-        loop.post(() -> loop.in(RouterHarness.MS, done::countDown));
+        loop.post(() -> loop.postEvent(new Lapsed(2)));
+        loop.post(() -> loop.runAfter(RouterHarness.MS, done::countDown));
         Thread thread = new Thread(loop);
         thread.start();
         assertTrue(done.await(20, TimeUnit.SECONDS));
@@ -145,13 +145,13 @@
     @Test
     void timersThatAreCalledOffTakeNoMemoryUntilTheirTime() {
         EventLoop loop = new EventLoop(Clock.ofSystem(), new Counters());
-        EventLoop.Timer kept = loop.in(RouterHarness.MS, () -> { });
+        EventLoop.Timer kept = loop.runAfter(RouterHarness.MS, () -> { });
         for (int i = 0; i < 10_000; i++) {
-            loop.in(24 * 3_600_000L * RouterHarness.MS, () -> { }).cancel();
+            loop.runAfter(24 * 3_600_000L * RouterHarness.MS, () -> { }).cancel();
         }
-        assertTrue(loop.timers() < 1_000, "timers " + loop.timers());
+        assertTrue(loop.queuedTimers() < 1_000, "timers " + loop.queuedTimers());
         kept.cancel();
         kept.cancel();
-        assertTrue(loop.timers() >= 1);
+        assertTrue(loop.queuedTimers() >= 1);
     }
 }
--- a/router/src/test/java/ledgewall/net/PeersTest.java
+++ b/router/src/test/java/ledgewall/net/PeersTest.java
@@ -51,7 +51,7 @@
                 new RoutingPolicy.Tell(1, new byte[257]), new RoutingPolicy.Tell(RoutingPolicy.NONE, new byte[] {3}));
             assertArrayEquals(new byte[] {1, 2}, receive(one));
             assertArrayEquals(new byte[] {3}, receive(everyone));
-            var router = rig.router().peersListening();
+            var router = rig.router().peerAddress();
             stranger.send(new DatagramPacket(new byte[] {9}, 1, router));
             one.send(new DatagramPacket(new byte[257], 257, router));
             one.send(new DatagramPacket(new byte[256], 256, router));
--- a/router/src/test/java/ledgewall/net/RouterHarness.java
+++ b/router/src/test/java/ledgewall/net/RouterHarness.java
@@ -140,13 +140,13 @@
     }
 
     Client client() throws IOException {
-        Client client = Client.started(router.listening());
+        Client client = Client.started(router.listenAddress());
         parts.add(0, client::close);
         return client;
     }
 
     Client stranger() throws IOException {
-        Client client = new Client(router.listening());
+        Client client = new Client(router.listenAddress());
         parts.add(0, client::close);
         return client;
     }
--- a/router/src/test/java/ledgewall/net/StopTest.java
+++ b/router/src/test/java/ledgewall/net/StopTest.java
@@ -32,7 +32,7 @@
     void idleClientsAreClosedInTheEndAndTheRouterEnds() throws IOException, InterruptedException {
         Router router = rig.start(ScriptedPolicy.idle());
         Client idle = rig.client();
-        InetSocketAddress address = router.listening();
+        InetSocketAddress address = router.listenAddress();
         router.drain();
         router.drain();
         assertTrue(idle.atEnd());
