--- a/router/src/main/java/ledgewall/Service.java
+++ b/router/src/main/java/ledgewall/Service.java
@@ -88,7 +88,7 @@
         if (classifierFactory != null && newConfig != null) {
             try {
                 classifier = classifierFactory.read(newConfig, classifier);
-                router.classifyBy(classifier);
+                router.setClassifier(classifier);
                 LOG.info("the rules are taken over");
             } catch (FormatException e) {
                 LOG.warn("the rules stay as they are: {}", e.getMessage());
--- a/router/src/main/java/ledgewall/net/Discovery.java
+++ b/router/src/main/java/ledgewall/net/Discovery.java
@@ -27,7 +27,7 @@
 final class Discovery {
     private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
 
-    private final Wiring context;
+    private final RouterContext context;
     private final Members members;
     private final MemberListWatcher watcher;
     /** The connections of the watcher's open calls; each is removed when the watcher closes its call. */
@@ -36,7 +36,7 @@
     private long timerDueAt = Long.MAX_VALUE;
     private InetSocketAddress address;
 
-    Discovery(Wiring context, RouterConfig config, Members members, MemberListWatcher.Checks pace) {
+    Discovery(RouterContext context, RouterConfig config, Members members, MemberListWatcher.Checks pace) {
         this.context = context;
         this.members = members;
         this.address = config.discovery();
@@ -83,7 +83,7 @@
             } else if (step instanceof MemberListWatcher.Apply learn) {
                 applyList(learn.update(), learn.call());
             } else if (step instanceof MemberListWatcher.FetchFailed) {
-                context.loop().tell(new RoutingPolicy.MemberList(ListKind.FAILED, List.of()));
+                context.loop().postEvent(new RoutingPolicy.MemberList(ListKind.FAILED, List.of()));
             }
         }
         rescheduleTimer();
@@ -108,7 +108,7 @@
             timer.cancel();
         }
         timerDueAt = due;
-        timer = due == Long.MAX_VALUE ? null : context.loop().at(due, () -> {
+        timer = due == Long.MAX_VALUE ? null : context.loop().runAt(due, () -> {
             timerDueAt = Long.MAX_VALUE;
             execute(watcher.tick(now()));
         });
--- a/router/src/main/java/ledgewall/net/HostConnection.java
+++ b/router/src/main/java/ledgewall/net/HostConnection.java
@@ -23,7 +23,7 @@
 
     private enum State { CONNECTING, STARTUP, IDLE, BUSY, CLOSED }
 
-    private final Wiring context;
+    private final RouterContext context;
     private final FrameReader frameReader = FrameReader.ofHost(MAX_MESSAGE_BYTES);
     private final StartupReply startupReply = new StartupReply();
     private final Consumer<HostConnection> onIdle;
@@ -44,7 +44,7 @@
     private long idleSince;
     private boolean idleAfterProbe;
 
-    HostConnection(Wiring context, Consumer<HostConnection> onIdle, Consumer<HostConnection> onClosed) {
+    HostConnection(RouterContext context, Consumer<HostConnection> onIdle, Consumer<HostConnection> onClosed) {
         this.context = context;
         this.onIdle = onIdle;
         this.onClosed = onClosed;
@@ -55,8 +55,8 @@
         exchange = first;
         context.descriptors().acquire();
         context.counters().add(Counters.Count.HOST_CONNECTIONS);
-        if (context.connectTimeout() > 0) {
-            connectTimer = context.loop().in(context.connectTimeout(), this::connectTimedOut);
+        if (context.connectTimeoutNanos() > 0) {
+            connectTimer = context.loop().runAfter(context.connectTimeoutNanos(), this::connectTimedOut);
         }
         connectFuture = context.transport().connect(address, this,
             () -> fail(AttemptOutcome.CONNECT_REFUSED, context.loop().now()));
@@ -150,7 +150,7 @@
     private void processStartup(Frame frame, long at) throws ProtocolException {
         startupReply.accept(frame);
         if (startupReply.sqlState() != null) {
-            fail(AttemptOutcome.ofGreeting(startupReply.sqlState()), at);
+            fail(AttemptOutcome.ofStartupError(startupReply.sqlState()), at);
         } else if (startupReply.ready()) {
             cancelConnectTimer();
             sendQuery();
--- a/router/src/main/java/ledgewall/net/HostPool.java
+++ b/router/src/main/java/ledgewall/net/HostPool.java
@@ -16,10 +16,10 @@
      * How long a connection must have been idle before it carries a request. Surplus data after the last answer, such as a
      * duplicate, arrives meanwhile and closes the connection instead of being mistaken for the next request's answer.
      */
-    private static final long SETTLE_NANOS = Clock.millis(10);
+    private static final long SETTLE_NANOS = Clock.millisToNanos(10);
     private static final int INITIAL_CAPACITY = 2;
 
-    private final Wiring context;
+    private final RouterContext context;
     /** The most recently used first. */
     private final Deque<HostConnection> idle = new ArrayDeque<>(INITIAL_CAPACITY);
     /** Connections to a former address, closed as soon as they are idle. */
@@ -29,7 +29,7 @@
     /** In nanoseconds on the event loop's clock; 0 for never. */
     private long lastAnswerAt;
 
-    HostPool(Wiring context, InetSocketAddress address) {
+    HostPool(RouterContext context, InetSocketAddress address) {
         this.context = context;
         this.address = address;
     }
@@ -60,7 +60,7 @@
         HostConnection connection = reusable;
         if (connection != null) {
             idle.remove(connection);
-            context.idle().remove(connection);
+            context.idleConnections().remove(connection);
             connection.start(exchange);
             return connection;
         }
@@ -71,13 +71,13 @@
     }
 
     boolean hasIdleFor(Attempt attempt) {
-        context.idle().closeExpired(context.loop().now());
+        context.idleConnections().closeExpired(context.loop().now());
         return findIdle(attempt) != null;
     }
 
     /** Probes need no settling time after one another: a report mistaken for the next probe's reaches no client. */
     boolean hasIdleForProbe() {
-        context.idle().closeExpired(context.loop().now());
+        context.idleConnections().closeExpired(context.loop().now());
         return !idle.isEmpty();
     }
 
@@ -88,7 +88,7 @@
     private HostConnection findIdle(Attempt attempt) {
         long settledBefore = context.loop().now() - SETTLE_NANOS;
         for (HostConnection connection : idle) {
-            if (connection.idleSince() <= settledBefore || attempt.isRepeatable() && connection.isIdleAfterProbe()) {
+            if (connection.idleSince() <= settledBefore || attempt.isIdempotent() && connection.isIdleAfterProbe()) {
                 return connection;
             }
         }
@@ -120,13 +120,13 @@
             connection.close();
         } else {
             idle.addFirst(connection);
-            context.idle().add(connection);
+            context.idleConnections().add(connection);
         }
     }
 
     private void onClosed(HostConnection connection) {
         idle.remove(connection);
-        context.idle().remove(connection);
+        context.idleConnections().remove(connection);
         closingWhenIdle.remove(connection);
         all.remove(connection);
     }
--- a/router/src/main/java/ledgewall/net/HostReports.java
+++ b/router/src/main/java/ledgewall/net/HostReports.java
@@ -13,7 +13,7 @@
     private static final String WAL_TIME = "wal_time";
     private static final String STATS = "stats";
     /** All machines share one clock; a position further in the future than rounding explains is invalid. */
-    private static final long MAX_FUTURE_NANOS = Clock.millis(100);
+    private static final long MAX_FUTURE_NANOS = Clock.millisToNanos(100);
     private static final int MAX_REPORT_LENGTH = 1_024;
 
     private HostReports() {
--- a/router/src/main/java/ledgewall/net/Members.java
+++ b/router/src/main/java/ledgewall/net/Members.java
@@ -19,7 +19,7 @@
 
 /** The known members by id, each with its connection pool; passes member lists on to the policy. */
 final class Members {
-    private final Wiring context;
+    private final RouterContext context;
     private final NameInterner zoneIndexes;
     private final NameInterner kindIndexes;
     private final Map<String, HostPool> pools = new LinkedHashMap<>();
@@ -28,7 +28,7 @@
     /** Groups that lists have named; their number is bounded by the deployment. */
     private final Set<Long> knownGroups = new HashSet<>();
 
-    Members(Wiring context, Vocabulary vocabulary) {
+    Members(RouterContext context, Vocabulary vocabulary) {
         this.context = context;
         this.zoneIndexes = new NameInterner(vocabulary.zones());
         this.kindIndexes = new NameInterner(vocabulary.kinds());
@@ -55,7 +55,7 @@
                 }
             });
         }
-        context.loop().tell(new RoutingPolicy.MemberList(kind, update.members().stream().map(this::toListing).toList()));
+        context.loop().postEvent(new RoutingPolicy.MemberList(kind, update.members().stream().map(this::toListing).toList()));
     }
 
     private void addOrUpdate(Member member) {
@@ -117,7 +117,7 @@
         pools.forEach((id, pool) -> {
             if (!pool.isEmpty()) {
                 String lastAnswer = pool.lastAnswerAt() == 0 ? "none answered yet"
-                    : "answered " + Clock.toMillis(now - pool.lastAnswerAt()) + " ms ago";
+                    : "answered " + Clock.nanosToMillis(now - pool.lastAnswerAt()) + " ms ago";
                 descriptions.add(id + ": " + pool.busyCount() + " in flight, " + pool.idleCount() + " idle, " + lastAnswer
                     + (removed.containsKey(id) ? ", gone" : ""));
             }
@@ -133,7 +133,7 @@
     /** Drops removed members without open connections, and closes connections that have been idle for too long. */
     void sweep() {
         removed.entrySet().removeIf(entry -> entry.getValue().isEmpty() && pools.remove(entry.getKey(), entry.getValue()));
-        context.idle().closeExpired(context.loop().now());
+        context.idleConnections().closeExpired(context.loop().now());
     }
 
     void closeAll() {
--- a/router/src/main/java/ledgewall/net/Peers.java
+++ b/router/src/main/java/ledgewall/net/Peers.java
@@ -19,14 +19,14 @@
     /** Larger than a valid datagram, so that one that is too long can be recognised. */
     private static final int READ_BUFFER_BYTES = 512;
 
-    private final Wiring context;
+    private final RouterContext context;
     private final List<InetSocketAddress> peers;
     private final InetSocketAddress allPeersAddress;
     private final InetSocketAddress listenAddress;
     private final Map<SocketAddress, Integer> peerIndexes = new HashMap<>();
     private NioDatagramAcceptor acceptor;
 
-    Peers(Wiring context, RouterConfig config) {
+    Peers(RouterContext context, RouterConfig config) {
         this.context = context;
         this.peers = config.peers();
         this.allPeersAddress = config.allPeersAddress();
@@ -74,7 +74,7 @@
             return;
         }
         context.counters().add(Counters.Count.PEER_MESSAGES_IN);
-        context.loop().tell(new RoutingPolicy.PeerMessage(peerIndex, content));
+        context.loop().postEvent(new RoutingPolicy.PeerMessage(peerIndex, content));
     }
 
     private final class Handler extends IoHandlerAdapter {
--- a/router/src/main/java/ledgewall/net/Probe.java
+++ b/router/src/main/java/ledgewall/net/Probe.java
@@ -15,7 +15,7 @@
     private static final byte[] REPORT_QUERY = MessageWriter.query("SHOW stats");
     private static final byte[] HEALTH_QUERY = MessageWriter.query("SELECT 1");
 
-    private final Wiring context;
+    private final RouterContext context;
     private final String member;
     private final boolean requestsReport;
     private HostConnection connection;
@@ -24,7 +24,7 @@
     private long startedAt;
     private boolean ended;
 
-    Probe(Wiring context, String member, boolean requestsReport) {
+    Probe(RouterContext context, String member, boolean requestsReport) {
         this.context = context;
         this.member = member;
         this.requestsReport = requestsReport;
@@ -33,13 +33,13 @@
 
     void start(HostPool pool) {
         context.counters().add(Counters.Count.PROBES);
-        if (!pool.hasIdleForProbe() && !context.descriptors().hasRoomForTraffic() && !context.idle().closeOldest()) {
+        if (!pool.hasIdleForProbe() && !context.descriptors().hasRoomForTraffic() && !context.idleConnections().closeOldest()) {
             ended(AttemptOutcome.NO_DESCRIPTOR, new Reply(), context.loop().now());
             return;
         }
         connection = pool.execute(this);
-        if (!ended && context.connectTimeout() > 0) {
-            timeoutTimer = context.loop().in(context.connectTimeout(), this::onTimeout);
+        if (!ended && context.connectTimeoutNanos() > 0) {
+            timeoutTimer = context.loop().runAfter(context.connectTimeoutNanos(), this::onTimeout);
         }
     }
 
@@ -82,7 +82,7 @@
         boolean notReady = endedAs == AttemptOutcome.HOST_ERROR && SqlState.CANNOT_CONNECT_NOW.equals(reply.sqlState());
         AttemptOutcome outcome = notReady ? AttemptOutcome.NOT_READY : endedAs;
         RoutingPolicy.Report report = outcome == AttemptOutcome.SERVED && requestsReport ? parseReport(reply, at) : null;
-        context.loop().tell(new ProbeResult(member, outcome.result(), Math.max(1, at - startedAt), report));
+        context.loop().postEvent(new ProbeResult(member, outcome.result(), Math.max(1, at - startedAt), report));
     }
 
     private static RoutingPolicy.Report parseReport(Reply reply, long at) {
--- a/router/src/main/java/ledgewall/net/Transport.java
+++ b/router/src/main/java/ledgewall/net/Transport.java
@@ -46,8 +46,8 @@
         this.acceptor = new BackpressureAcceptor(processor, () -> openSockets.get() < maxOpenSockets,
             this::notifyAcceptBlocked, nanos -> {
                 counters.add(Counters.Count.ACCEPT_PAUSES);
-                counters.add(Counters.Count.ACCEPT_PAUSED_MILLIS, Clock.toMillis(nanos));
-                LOG.debug("event=accept_resumed paused_ms={} sockets={} most={}", Clock.toMillis(nanos),
+                counters.add(Counters.Count.ACCEPT_PAUSED_MILLIS, Clock.nanosToMillis(nanos));
+                LOG.debug("event=accept_resumed paused_ms={} sockets={} most={}", Clock.nanosToMillis(nanos),
                     openSockets.get(), maxOpenSockets);
             });
         this.clock = clock;
--- a/router/src/test/java/ledgewall/net/DrainTest.java
+++ b/router/src/test/java/ledgewall/net/DrainTest.java
@@ -32,7 +32,7 @@
     void drainClosesIdleClientsAndThenTheRouter() throws IOException, InterruptedException {
         Router router = harness.start(ScriptedPolicy.idle());
         Client idle = harness.client();
-        InetSocketAddress address = router.listening();
+        InetSocketAddress address = router.listenAddress();
         router.drain();
         router.drain();
         assertTrue(idle.endOfStream());
--- a/router/src/test/java/ledgewall/net/PeersTest.java
+++ b/router/src/test/java/ledgewall/net/PeersTest.java
@@ -52,7 +52,7 @@
                 new RoutingPolicy.SendToPeer(1, new byte[257]), new RoutingPolicy.SendToPeer(RoutingPolicy.NONE, new byte[] {3}));
             assertArrayEquals(new byte[] {1, 2}, receive(peer));
             assertArrayEquals(new byte[] {3}, receive(allPeers));
-            var routerAddress = harness.router().peersListening();
+            var routerAddress = harness.router().peerAddress();
             unknownSender.send(new DatagramPacket(new byte[] {9}, 1, routerAddress));
             peer.send(new DatagramPacket(new byte[257], 257, routerAddress));
             peer.send(new DatagramPacket(new byte[256], 256, routerAddress));
--- a/router/src/test/java/ledgewall/net/RouterHarness.java
+++ b/router/src/test/java/ledgewall/net/RouterHarness.java
@@ -143,14 +143,14 @@
 
     /** Connects a client that has completed the start-up handshake. */
     Client client() throws IOException {
-        Client client = Client.connect(router.listening());
+        Client client = Client.connect(router.listenAddress());
         closeables.add(0, client::close);
         return client;
     }
 
     /** Connects a client that has not sent anything. */
     Client rawClient() throws IOException {
-        Client client = new Client(router.listening());
+        Client client = new Client(router.listenAddress());
         closeables.add(0, client::close);
         return client;
     }
