--- a/expression/src/main/java/ledgewall/expression/Bytecode.java
+++ b/expression/src/main/java/ledgewall/expression/Bytecode.java
@@ -40,13 +40,15 @@
 import org.objectweb.asm.MethodVisitor;
 
 /**
- * Makes a class of its own of a conjunction or disjunction, so that its plain parts (a string attribute or map entry
- * against a constant) are read and compared in one method without calls; other parts stay parts and are called.
+ * Generates a class for a conjunction or disjunction. Its inlinable parts (a test of a string attribute or map entry
+ * against a constant) are read and compared in one method, without calls to other {@link Code}; every other part is
+ * compiled to its own code and called.
  */
 final class Bytecode {
-    /** Of one expression: methods beyond 8,000 bytes of code are never compiled by the machine. */
-    private static final int MOST_PARTS = 64;
-    private static final String NAME = "ledgewall/expression/Condition";
+    /** Limit on the parts of one generated method: HotSpot never JIT-compiles methods of more than 8,000 bytes. */
+    private static final int MAX_PARTS = 64;
+    // JVM internal names of the generated class and of the classes that it uses
+    private static final String CLASS_NAME = "ledgewall/expression/Condition";
     private static final String FRAME = "ledgewall/expression/Frame";
     private static final String ERROR_KIND = "ledgewall/expression/ErrorKind";
     private static final String CODE = "ledgewall/expression/Code";
@@ -54,54 +56,60 @@
     private static final String STRING = "java/lang/String";
 
     private final Compiler compiler;
+    /** Values of the generated class's constant fields; {@link #constantTypes} holds their internal class names. */
     private final List<Object> constants = new ArrayList<>();
-    private final List<String> types = new ArrayList<>();
-    private int locals = 2;
-    private MethodVisitor out;
+    private final List<String> constantTypes = new ArrayList<>();
+    /** The next free local variable of the generated method; 0 is the receiver and 1 is the frame. */
+    private int nextLocal = 2;
+    /** The generated method {@link Code#bool}. */
+    private MethodVisitor method;
 
     private Bytecode(Compiler compiler) {
         this.compiler = compiler;
     }
 
-    /** The compiled form, or null where too little of it is plain. */
-    static Code of(Node.Logic logic, Compiler compiler) {
-        if (size(logic) > MOST_PARTS || logic.parts().stream().noneMatch(Bytecode::isPlain)) {
+    /** Generates the code, or returns null if no part is inlinable or there are too many parts. */
+    static Code compile(Node.Logic logic, Compiler compiler) {
+        if (leafCount(logic) > MAX_PARTS || logic.parts().stream().noneMatch(Bytecode::isInlinable)) {
             return null;
         }
-        return new Bytecode(compiler).make(logic);
+        return new Bytecode(compiler).generate(logic);
     }
 
-    private static int size(Node node) {
-        return node instanceof Node.Logic logic ? logic.parts().stream().mapToInt(Bytecode::size).sum() : 1;
+    /** The number of parts that are not a conjunction or disjunction themselves. */
+    private static int leafCount(Node node) {
+        return node instanceof Node.Logic logic ? logic.parts().stream().mapToInt(Bytecode::leafCount).sum() : 1;
     }
 
-    private static boolean isPlain(Node node) {
+    /** Whether a node is a test that can be emitted inline, or contains one. */
+    private static boolean isInlinable(Node node) {
         if (node instanceof Node.Logic logic) {
-            return logic.parts().stream().anyMatch(Bytecode::isPlain);
+            return logic.parts().stream().anyMatch(Bytecode::isInlinable);
         }
         if (!(node instanceof Node.Call call)) {
             return false;
         }
         Node first = call.arguments().get(0);
-        return call.function().name().equals("!") ? isPlain(first) : call.arguments().size() == 2
+        return call.function().name().equals("!") ? isInlinable(first) : call.arguments().size() == 2
             && List.of("==", "!=", "in", "startsWith", "endsWith", "contains").contains(call.function().name())
-            && first.type() == Type.STRING && isRead(first) && call.arguments().get(1) instanceof Node.Constant;
+            && first.type() == Type.STRING && isAttributeOrEntry(first) && call.arguments().get(1) instanceof Node.Constant;
     }
 
-    private static boolean isRead(Node node) {
+    /** Whether a node reads an attribute, or the entry of a map attribute for a constant key. */
+    private static boolean isAttributeOrEntry(Node node) {
         return node instanceof Node.Attribute || node instanceof Node.Call call && call.function().name().equals("[]")
             && call.arguments().get(0) instanceof Node.Attribute map && map.type().kind() == Type.Kind.MAP
             && call.arguments().get(1) instanceof Node.Constant;
     }
 
-    private Code make(Node.Logic logic) {
+    private Code generate(Node.Logic logic) {
         ClassWriter writer = new ClassWriter(ClassWriter.COMPUTE_FRAMES | ClassWriter.COMPUTE_MAXS) {
             @Override
             protected String getCommonSuperClass(String a, String b) {
                 return a.equals(b) ? a : OBJECT;
             }
         };
-        writer.visit(V17, ACC_FINAL | ACC_SUPER, NAME, null, CODE + "$Bool", null);
+        writer.visit(V17, ACC_FINAL | ACC_SUPER, CLASS_NAME, null, CODE + "$Bool", null);
         MethodVisitor constructor = writer.visitMethod(0, "<init>", "()V", null, null);
         constructor.visitCode();
         constructor.visitVarInsn(ALOAD, 0);
@@ -109,25 +117,25 @@
         constructor.visitInsn(RETURN);
         constructor.visitMaxs(0, 0);
         constructor.visitEnd();
-        out = writer.visitMethod(0, "bool", "(L" + FRAME + ";)I", null, null);
-        out.visitCode();
+        method = writer.visitMethod(0, "bool", "(L" + FRAME + ";)I", null, null);
+        method.visitCode();
         emit(logic, true);
-        out.visitInsn(IRETURN);
-        out.visitMaxs(0, 0);
-        out.visitEnd();
-        holdConstants(writer);
+        method.visitInsn(IRETURN);
+        method.visitMaxs(0, 0);
+        method.visitEnd();
+        defineConstants(writer);
         writer.visitEnd();
         try {
             return (Code) MethodHandles.lookup()
                 .defineHiddenClassWithClassData(writer.toByteArray(), constants.toArray(), true)
                 .lookupClass().getDeclaredConstructor().newInstance();
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("a condition's class", e);
+            throw new IllegalStateException("cannot create the class generated for a condition", e);
         }
     }
 
-    /** Static and final, so that the machine takes them for what they are. */
-    private void holdConstants(ClassWriter writer) {
+    /** Defines the constants as static final fields, so that the JIT compiler treats them as constants. */
+    private void defineConstants(ClassWriter writer) {
         MethodVisitor init = writer.visitMethod(ACC_STATIC, "<clinit>", "()V", null, null);
         init.visitCode();
         init.visitMethodInsn(INVOKESTATIC, "java/lang/invoke/MethodHandles", "lookup",
@@ -139,171 +147,180 @@
         init.visitTypeInsn(CHECKCAST, "[Ljava/lang/Object;");
         init.visitVarInsn(ASTORE, 0);
         for (int i = 0; i < constants.size(); i++) {
-            writer.visitField(ACC_STATIC | ACC_FINAL, "c" + i, "L" + types.get(i) + ";", null, null).visitEnd();
+            writer.visitField(ACC_STATIC | ACC_FINAL, "c" + i, "L" + constantTypes.get(i) + ";", null, null).visitEnd();
             init.visitVarInsn(ALOAD, 0);
             init.visitLdcInsn(i);
             init.visitInsn(AALOAD);
-            init.visitTypeInsn(CHECKCAST, types.get(i));
-            init.visitFieldInsn(PUTSTATIC, NAME, "c" + i, "L" + types.get(i) + ";");
+            init.visitTypeInsn(CHECKCAST, constantTypes.get(i));
+            init.visitFieldInsn(PUTSTATIC, CLASS_NAME, "c" + i, "L" + constantTypes.get(i) + ";");
         }
         init.visitInsn(RETURN);
         init.visitMaxs(0, 0);
         init.visitEnd();
     }
 
-    private void constant(Object value, String type) {
-        out.visitFieldInsn(GETSTATIC, NAME, "c" + constants.size(), "L" + type + ";");
+    /** Adds a constant field and emits a load of its value onto the stack. */
+    private void loadConstant(Object value, String type) {
+        method.visitFieldInsn(GETSTATIC, CLASS_NAME, "c" + constants.size(), "L" + type + ";");
         constants.add(value);
-        types.add(type);
+        constantTypes.add(type);
     }
 
-    /** Leaves 0, 1 or {@link Code#ERROR} on the stack; turned round unless it is to hold. */
-    private void emit(Node node, boolean holds) {
+    /**
+     * Emits code that leaves 0, 1 or {@link Code#ERROR} on the stack: the value of the node, or its negation if
+     * {@code positive} is false.
+     */
+    private void emit(Node node, boolean positive) {
         if (node instanceof Node.Logic logic) {
-            logic(logic);
-            turn(holds);
+            emitLogic(logic);
+            negateUnless(positive);
         } else if (node instanceof Node.Call call && call.function().name().equals("!")) {
-            emit(call.arguments().get(0), !holds);
-        } else if (isPlain(node)) {
-            plain((Node.Call) node, holds);
+            emit(call.arguments().get(0), !positive);
+        } else if (isInlinable(node)) {
+            emitTest((Node.Call) node, positive);
         } else {
-            constant(compiler.compile(node), CODE);
-            out.visitVarInsn(ALOAD, 1);
-            out.visitMethodInsn(INVOKEVIRTUAL, CODE, "bool", "(L" + FRAME + ";)I", false);
-            turn(holds);
+            loadConstant(compiler.compile(node), CODE);
+            method.visitVarInsn(ALOAD, 1);
+            method.visitMethodInsn(INVOKEVIRTUAL, CODE, "bool", "(L" + FRAME + ";)I", false);
+            negateUnless(positive);
         }
     }
 
-    /** What is no error, the other way round. */
-    private void turn(boolean holds) {
-        if (holds) {
+    /** Emits code that swaps 0 and 1 on the stack, and keeps an error, if {@code positive} is false. */
+    private void negateUnless(boolean positive) {
+        if (positive) {
             return;
         }
-        int value = locals++;
+        int value = nextLocal++;
         Label error = new Label();
         Label end = new Label();
-        out.visitVarInsn(ISTORE, value);
-        out.visitVarInsn(ILOAD, value);
-        out.visitJumpInsn(org.objectweb.asm.Opcodes.IFLT, error);
-        out.visitInsn(ICONST_1);
-        out.visitVarInsn(ILOAD, value);
-        out.visitInsn(ISUB);
-        out.visitJumpInsn(GOTO, end);
-        out.visitLabel(error);
-        out.visitVarInsn(ILOAD, value);
-        out.visitLabel(end);
+        method.visitVarInsn(ISTORE, value);
+        method.visitVarInsn(ILOAD, value);
+        method.visitJumpInsn(org.objectweb.asm.Opcodes.IFLT, error);
+        method.visitInsn(ICONST_1);
+        method.visitVarInsn(ILOAD, value);
+        method.visitInsn(ISUB);
+        method.visitJumpInsn(GOTO, end);
+        method.visitLabel(error);
+        method.visitVarInsn(ILOAD, value);
+        method.visitLabel(end);
     }
 
-    private void logic(Node.Logic logic) {
+    /**
+     * Emits the parts in order. The first decisive value ends the evaluation; otherwise the first error, if there is one, is
+     * the result.
+     */
+    private void emitLogic(Node.Logic logic) {
         int decisive = logic.all() ? 0 : 1;
-        int error = locals++;
-        int value = locals++;
+        int error = nextLocal++;
+        int value = nextLocal++;
         Label end = new Label();
-        out.visitInsn(ACONST_NULL);
-        out.visitVarInsn(ASTORE, error);
+        method.visitInsn(ACONST_NULL);
+        method.visitVarInsn(ASTORE, error);
         for (Node part : logic.parts()) {
             Label next = new Label();
-            Label kept = new Label();
+            Label errorSaved = new Label();
             Label undecided = new Label();
             emit(part, true);
-            out.visitVarInsn(ISTORE, value);
-            out.visitVarInsn(ILOAD, value);
-            out.visitLdcInsn(decisive);
-            out.visitJumpInsn(IF_ICMPNE, undecided);
-            out.visitLdcInsn(decisive);
-            out.visitJumpInsn(GOTO, end);
-            out.visitLabel(undecided);
-            out.visitVarInsn(ILOAD, value);
-            out.visitJumpInsn(IFGE, next);
-            out.visitVarInsn(ALOAD, error);
-            out.visitJumpInsn(IFNONNULL, kept);
-            out.visitVarInsn(ALOAD, 1);
-            out.visitMethodInsn(INVOKEVIRTUAL, FRAME, "error", "()L" + ERROR_KIND + ";", false);
-            out.visitVarInsn(ASTORE, error);
-            out.visitLabel(kept);
-            out.visitVarInsn(ALOAD, 1);
-            out.visitInsn(ACONST_NULL);
-            out.visitMethodInsn(INVOKEVIRTUAL, FRAME, "error", "(L" + ERROR_KIND + ";)V", false);
-            out.visitLabel(next);
+            method.visitVarInsn(ISTORE, value);
+            method.visitVarInsn(ILOAD, value);
+            method.visitLdcInsn(decisive);
+            method.visitJumpInsn(IF_ICMPNE, undecided);
+            method.visitLdcInsn(decisive);
+            method.visitJumpInsn(GOTO, end);
+            method.visitLabel(undecided);
+            method.visitVarInsn(ILOAD, value);
+            method.visitJumpInsn(IFGE, next);
+            method.visitVarInsn(ALOAD, error);
+            method.visitJumpInsn(IFNONNULL, errorSaved);
+            method.visitVarInsn(ALOAD, 1);
+            method.visitMethodInsn(INVOKEVIRTUAL, FRAME, "error", "()L" + ERROR_KIND + ";", false);
+            method.visitVarInsn(ASTORE, error);
+            method.visitLabel(errorSaved);
+            method.visitVarInsn(ALOAD, 1);
+            method.visitInsn(ACONST_NULL);
+            method.visitMethodInsn(INVOKEVIRTUAL, FRAME, "error", "(L" + ERROR_KIND + ";)V", false);
+            method.visitLabel(next);
         }
-        Label none = new Label();
-        out.visitVarInsn(ALOAD, error);
-        out.visitJumpInsn(IFNULL, none);
-        fail(() -> out.visitVarInsn(ALOAD, error), end);
-        out.visitLabel(none);
-        out.visitLdcInsn(1 - decisive);
-        out.visitLabel(end);
+        Label noError = new Label();
+        method.visitVarInsn(ALOAD, error);
+        method.visitJumpInsn(IFNULL, noError);
+        emitError(() -> method.visitVarInsn(ALOAD, error), end);
+        method.visitLabel(noError);
+        method.visitLdcInsn(1 - decisive);
+        method.visitLabel(end);
     }
 
-    /** Puts an error into the frame and ends with {@link Code#ERROR}. */
-    private void fail(Runnable kind, Label end) {
-        out.visitVarInsn(ALOAD, 1);
-        kind.run();
-        out.visitTypeInsn(CHECKCAST, ERROR_KIND);
-        out.visitMethodInsn(INVOKEVIRTUAL, FRAME, "error", "(L" + ERROR_KIND + ";)V", false);
-        out.visitLdcInsn(Code.ERROR);
-        out.visitJumpInsn(GOTO, end);
+    /** Emits code that stores an error in the frame and jumps to the end with {@link Code#ERROR} on the stack. */
+    private void emitError(Runnable loadError, Label end) {
+        method.visitVarInsn(ALOAD, 1);
+        loadError.run();
+        method.visitTypeInsn(CHECKCAST, ERROR_KIND);
+        method.visitMethodInsn(INVOKEVIRTUAL, FRAME, "error", "(L" + ERROR_KIND + ";)V", false);
+        method.visitLdcInsn(Code.ERROR);
+        method.visitJumpInsn(GOTO, end);
     }
 
-    private void plain(Node.Call call, boolean holds) {
-        Node read = call.arguments().get(0);
+    /** Emits a test of a string attribute or map entry against a constant. */
+    private void emitTest(Node.Call call, boolean positive) {
+        Node operand = call.arguments().get(0);
         Object constant = ((Node.Constant) call.arguments().get(1)).value();
         Label end = new Label();
-        int value = read(read, end);
+        int value = emitRead(operand, end);
         String name = call.function().name();
         switch (name) {
             case "==", "!=" -> {
-                constant(constant, STRING);
-                out.visitVarInsn(ALOAD, value);
-                out.visitMethodInsn(INVOKEVIRTUAL, STRING, "equals", "(Ljava/lang/Object;)Z", false);
+                loadConstant(constant, STRING);
+                method.visitVarInsn(ALOAD, value);
+                method.visitMethodInsn(INVOKEVIRTUAL, STRING, "equals", "(Ljava/lang/Object;)Z", false);
             }
             case "in" -> {
-                constant(new HashSet<>((List<?>) constant), "java/util/HashSet");
-                out.visitVarInsn(ALOAD, value);
-                out.visitMethodInsn(INVOKEVIRTUAL, "java/util/HashSet", "contains", "(Ljava/lang/Object;)Z", false);
+                loadConstant(new HashSet<>((List<?>) constant), "java/util/HashSet");
+                method.visitVarInsn(ALOAD, value);
+                method.visitMethodInsn(INVOKEVIRTUAL, "java/util/HashSet", "contains", "(Ljava/lang/Object;)Z", false);
             }
             default -> {
-                constant(constant, STRING);
-                out.visitVarInsn(ALOAD, value);
-                out.visitTypeInsn(CHECKCAST, STRING);
-                out.visitInsn(SWAP);
+                loadConstant(constant, STRING);
+                method.visitVarInsn(ALOAD, value);
+                method.visitTypeInsn(CHECKCAST, STRING);
+                method.visitInsn(SWAP);
                 String parameter = name.equals("contains") ? "java/lang/CharSequence" : STRING;
-                out.visitMethodInsn(INVOKEVIRTUAL, STRING, name, "(L" + parameter + ";)Z", false);
+                method.visitMethodInsn(INVOKEVIRTUAL, STRING, name, "(L" + parameter + ";)Z", false);
             }
         }
-        if (holds == name.equals("!=")) {
-            out.visitInsn(ICONST_1);
-            out.visitInsn(IXOR);
+        if (positive == name.equals("!=")) {
+            method.visitInsn(ICONST_1);
+            method.visitInsn(IXOR);
         }
-        out.visitLabel(end);
+        method.visitLabel(end);
     }
 
-    /** Reads an attribute or an entry into a local; an error ends the part. */
-    private int read(Node node, Label end) {
-        int value = locals++;
-        boolean entry = node instanceof Node.Call;
-        Node.Attribute attribute = (Node.Attribute) (entry ? ((Node.Call) node).arguments().get(0) : node);
-        out.visitVarInsn(ALOAD, 1);
-        out.visitLdcInsn(attribute.index());
-        out.visitMethodInsn(INVOKEVIRTUAL, FRAME, "value", "(I)Ljava/lang/Object;", false);
-        out.visitVarInsn(ASTORE, value);
-        Label there = new Label();
-        out.visitVarInsn(ALOAD, value);
-        out.visitTypeInsn(INSTANCEOF, ERROR_KIND);
-        out.visitJumpInsn(IFEQ, there);
-        fail(() -> out.visitVarInsn(ALOAD, value), end);
-        out.visitLabel(there);
-        if (entry) {
+    /** Emits a read of an attribute or map entry into a local variable, which is returned; an error jumps to the end. */
+    private int emitRead(Node node, Label end) {
+        int value = nextLocal++;
+        boolean isEntry = node instanceof Node.Call;
+        Node.Attribute attribute = (Node.Attribute) (isEntry ? ((Node.Call) node).arguments().get(0) : node);
+        method.visitVarInsn(ALOAD, 1);
+        method.visitLdcInsn(attribute.index());
+        method.visitMethodInsn(INVOKEVIRTUAL, FRAME, "value", "(I)Ljava/lang/Object;", false);
+        method.visitVarInsn(ASTORE, value);
+        Label present = new Label();
+        method.visitVarInsn(ALOAD, value);
+        method.visitTypeInsn(INSTANCEOF, ERROR_KIND);
+        method.visitJumpInsn(IFEQ, present);
+        emitError(() -> method.visitVarInsn(ALOAD, value), end);
+        method.visitLabel(present);
+        if (isEntry) {
             Label found = new Label();
-            out.visitVarInsn(ALOAD, value);
-            out.visitTypeInsn(CHECKCAST, "java/util/Map");
-            constant(((Node.Constant) ((Node.Call) node).arguments().get(1)).value(), STRING);
-            out.visitMethodInsn(INVOKEINTERFACE, "java/util/Map", "get", "(Ljava/lang/Object;)Ljava/lang/Object;", true);
-            out.visitVarInsn(ASTORE, value);
-            out.visitVarInsn(ALOAD, value);
-            out.visitJumpInsn(IFNONNULL, found);
-            fail(() -> out.visitFieldInsn(GETSTATIC, ERROR_KIND, "NO_SUCH_KEY", "L" + ERROR_KIND + ";"), end);
-            out.visitLabel(found);
+            method.visitVarInsn(ALOAD, value);
+            method.visitTypeInsn(CHECKCAST, "java/util/Map");
+            loadConstant(((Node.Constant) ((Node.Call) node).arguments().get(1)).value(), STRING);
+            method.visitMethodInsn(INVOKEINTERFACE, "java/util/Map", "get", "(Ljava/lang/Object;)Ljava/lang/Object;", true);
+            method.visitVarInsn(ASTORE, value);
+            method.visitVarInsn(ALOAD, value);
+            method.visitJumpInsn(IFNONNULL, found);
+            emitError(() -> method.visitFieldInsn(GETSTATIC, ERROR_KIND, "NO_SUCH_KEY", "L" + ERROR_KIND + ";"), end);
+            method.visitLabel(found);
         }
         return value;
     }
--- a/expression/src/main/java/ledgewall/expression/Code.java
+++ b/expression/src/main/java/ledgewall/expression/Code.java
@@ -1,57 +1,58 @@
 package ledgewall.expression;
 
 /**
- * One part of a compiled expression. Bools and integers go unboxed; where there is an error instead, it stands in the
- * frame and what is returned means nothing. A part overrides the method of its own type, and the others follow from it.
+ * The executable form of one node of a compiled expression. Bools and integers are returned unboxed. If the evaluation
+ * fails, the error is in the frame ({@link Frame#error()}) and a returned number has no meaning. A subclass overrides the
+ * method for its own type; the other methods are derived from that one.
  */
 abstract class Code {
-    /** What {@link #bool} returns besides 0 and 1. */
+    /** The result of {@link #bool} if the evaluation failed; 0 is false and 1 is true. */
     static final int ERROR = -1;
 
-    /** 0, 1 or {@link #ERROR}. */
+    /** Evaluates to 0 (false), 1 (true) or {@link #ERROR}. */
     int bool(Frame frame) {
-        Object value = ref(frame);
+        Object value = object(frame);
         return value == null ? ERROR : (Boolean) value ? 1 : 0;
     }
 
-    /** An integer, duration or timestamp. */
+    /** Evaluates to an integer, duration or timestamp; the result is valid only if the frame has no error. */
     long number(Frame frame) {
-        Object value = ref(frame);
+        Object value = object(frame);
         return value == null ? 0 : (Long) value;
     }
 
-    /** Any value as an object; null for an error. */
-    abstract Object ref(Frame frame);
+    /** Evaluates to a value of any type as an object, or to null if the evaluation failed. */
+    abstract Object object(Frame frame);
 
-    /** A part of type bool. */
+    /** The code of an expression of type bool. */
     abstract static class Bool extends Code {
         @Override
         abstract int bool(Frame frame);
 
         @Override
         final long number(Frame frame) {
-            throw new IllegalStateException("a bool is no number");
+            throw new IllegalStateException("a bool expression has no numeric value");
         }
 
         @Override
-        final Object ref(Frame frame) {
+        final Object object(Frame frame) {
             int value = bool(frame);
             return value == ERROR ? null : (Object) (value == 1);
         }
     }
 
-    /** A part of type int, duration or timestamp. */
+    /** The code of an expression of type int, duration or timestamp. */
     abstract static class Number extends Code {
         @Override
         abstract long number(Frame frame);
 
         @Override
         final int bool(Frame frame) {
-            throw new IllegalStateException("a number is no bool");
+            throw new IllegalStateException("a numeric expression has no bool value");
         }
 
         @Override
-        final Object ref(Frame frame) {
+        final Object object(Frame frame) {
             long value = number(frame);
             return frame.error() != null ? null : (Object) value;
         }
--- a/expression/src/main/java/ledgewall/expression/Compiler.java
+++ b/expression/src/main/java/ledgewall/expression/Compiler.java
@@ -11,15 +11,19 @@
 import ledgewall.expression.Type.Kind;
 
 /**
- * Makes a checked expression into parts that call one another. What requests are told apart by most, comparisons,
- * beginnings, sets, keys, has parts of its own that allocate nothing; all else goes by the function's body.
+ * Compiles a checked expression into a tree of {@link Code} objects that call one another. The functions that conditions
+ * on requests use most (comparisons, prefixes, set membership, map keys) have specialized code that allocates nothing;
+ * every other function is called through its {@link Function.Body}.
  */
 final class Compiler {
-    /** Shared expressions are compiled once, whoever names them. */
+    /** Code of shared expressions by slot: each is compiled once, however many expressions refer to it. */
     private final Map<Integer, Code> shared = new HashMap<>();
-    /** Classes of their own, of one file's expressions; each takes some KB and is warmed up for itself. */
-    private static final int MOST_CLASSES = 1_000;
-    private int classes;
+    /**
+     * Limit on the generated classes for the expressions of one file: each takes some KB of memory, and the JVM has to
+     * warm up each one separately.
+     */
+    private static final int MAX_GENERATED_CLASSES = 1_000;
+    private int generatedClasses;
 
     Code compile(Node node) {
         if (node instanceof Node.Constant constant) {
@@ -30,19 +34,19 @@
         }
         if (node instanceof Node.Variable variable) {
             int slot = variable.slot();
-            return ref(frame -> frame.variable(slot));
+            return objectCode(frame -> frame.variable(slot));
         }
         if (node instanceof Node.Logic logic) {
-            Code own = classes < MOST_CLASSES ? Bytecode.of(logic, this) : null;
-            classes += own == null ? 0 : 1;
-            return own != null ? own : logic(logic.all(), compile(logic.parts()));
+            Code generated = generatedClasses < MAX_GENERATED_CLASSES ? Bytecode.compile(logic, this) : null;
+            generatedClasses += generated == null ? 0 : 1;
+            return generated != null ? generated : logic(logic.all(), compile(logic.parts()));
         }
         if (node instanceof Node.Choice choice) {
             return choice(choice, compile(choice.condition()), compile(choice.yes()), compile(choice.no()));
         }
         if (node instanceof Node.Call call) {
-            Code special = special(call);
-            return special != null ? special : general(call.function().body(), compile(call.arguments()));
+            Code specialized = specialized(call);
+            return specialized != null ? specialized : generic(call.function().body(), compile(call.arguments()));
         }
         if (node instanceof Node.ListOf list) {
             return list(compile(list.elements()));
@@ -53,38 +57,39 @@
         if (node instanceof Node.Loop loop) {
             return Loops.compile(loop.macro(), loop.slot(), compile(loop.range()), compile(loop.body()));
         }
-        Node.Shared other = (Node.Shared) node;
-        Code body = shared.get(other.slot());
+        Node.Shared sharedNode = (Node.Shared) node;
+        Code body = shared.get(sharedNode.slot());
         if (body == null) {
-            body = compile(other.body());
-            shared.put(other.slot(), body);
+            body = compile(sharedNode.body());
+            shared.put(sharedNode.slot(), body);
         }
-        return shared(other.slot(), body);
+        return shared(sharedNode.slot(), body);
     }
 
     private Code[] compile(List<Node> nodes) {
         return nodes.stream().map(this::compile).toArray(Code[]::new);
     }
 
-    /** A part in one method. */
-    interface Ref {
+    /** Evaluates an expression to an object: the body of {@link Code#object}. */
+    interface ObjectEvaluator {
         Object of(Frame frame);
     }
 
-    static Code ref(Ref body) {
+    static Code objectCode(ObjectEvaluator body) {
         return new Code() {
             @Override
-            Object ref(Frame frame) {
+            Object object(Frame frame) {
                 return body.of(frame);
             }
         };
     }
 
-    interface Test {
+    /** Evaluates an expression to 0, 1 or {@link Code#ERROR}: the body of {@link Code#bool}. */
+    interface BoolEvaluator {
         int of(Frame frame);
     }
 
-    static Code test(Test body) {
+    static Code boolCode(BoolEvaluator body) {
         return new Code.Bool() {
             @Override
             int bool(Frame frame) {
@@ -93,11 +98,12 @@
         };
     }
 
-    interface Count {
+    /** Evaluates an expression to a long: the body of {@link Code#number}. */
+    interface NumberEvaluator {
         long of(Frame frame);
     }
 
-    static Code number(Count body) {
+    static Code numberCode(NumberEvaluator body) {
         return new Code.Number() {
             @Override
             long number(Frame frame) {
@@ -109,20 +115,20 @@
     private static Code constant(Node.Constant constant) {
         Object value = constant.value();
         if (value instanceof Boolean bool) {
-            int answer = bool ? 1 : 0;
-            return test(frame -> answer);
+            int result = bool ? 1 : 0;
+            return boolCode(frame -> result);
         }
-        if (value instanceof Long count) {
-            long answer = count;
-            return number(frame -> answer);
+        if (value instanceof Long number) {
+            long result = number;
+            return numberCode(frame -> result);
         }
-        return ref(frame -> value);
+        return objectCode(frame -> value);
     }
 
     private static Code attribute(Node.Attribute attribute) {
         int index = attribute.index();
         if (attribute.type().isLong()) {
-            return number(frame -> {
+            return numberCode(frame -> {
                 if (frame.value(index) instanceof ErrorKind error) {
                     frame.error(error);
                     return 0;
@@ -130,7 +136,7 @@
                 return frame.number(index);
             });
         }
-        return ref(frame -> {
+        return objectCode(frame -> {
             Object value = frame.value(index);
             if (value instanceof ErrorKind error) {
                 frame.error(error);
@@ -140,9 +146,12 @@
         });
     }
 
-    /** An error counts only where no other part decides. */
-    private static Code logic(boolean all, Code[] parts) {
-        int decisive = all ? 0 : 1;
+    /**
+     * A conjunction or disjunction. The first part whose value decides the result ends the evaluation; the first error is
+     * the result only if no part decides.
+     */
+    private static Code logic(boolean conjunction, Code[] parts) {
+        int decisive = conjunction ? 0 : 1;
         return new Code.Bool() {
             @Override
             int bool(Frame frame) {
@@ -166,30 +175,31 @@
         };
     }
 
-    private static Code choice(Node.Choice node, Code condition, Code yes, Code no) {
+    private static Code choice(Node.Choice node, Code condition, Code whenTrue, Code whenFalse) {
         if (node.type() == Type.BOOL) {
-            return test(frame -> {
+            return boolCode(frame -> {
                 int value = condition.bool(frame);
-                return value == Code.ERROR ? value : value == 1 ? yes.bool(frame) : no.bool(frame);
+                return value == Code.ERROR ? value : value == 1 ? whenTrue.bool(frame) : whenFalse.bool(frame);
             });
         }
         if (node.type().isLong()) {
-            return number(frame -> {
+            return numberCode(frame -> {
                 int value = condition.bool(frame);
-                return value == Code.ERROR ? 0 : value == 1 ? yes.number(frame) : no.number(frame);
+                return value == Code.ERROR ? 0 : value == 1 ? whenTrue.number(frame) : whenFalse.number(frame);
             });
         }
-        return ref(frame -> {
+        return objectCode(frame -> {
             int value = condition.bool(frame);
-            return value == Code.ERROR ? null : value == 1 ? yes.ref(frame) : no.ref(frame);
+            return value == Code.ERROR ? null : value == 1 ? whenTrue.object(frame) : whenFalse.object(frame);
         });
     }
 
+    /** Evaluates a shared expression once per request and keeps its value, or its error, in the frame. */
     private static Code shared(int slot, Code body) {
-        return ref(frame -> {
+        return objectCode(frame -> {
             if (!frame.hasShared(slot)) {
-                Object value = body.ref(frame);
-                frame.share(slot, value == null ? frame.error() : value);
+                Object value = body.object(frame);
+                frame.storeShared(slot, value == null ? frame.error() : value);
                 frame.error(null);
             }
             Object value = frame.shared(slot);
@@ -202,10 +212,10 @@
     }
 
     private static Code list(Code[] elements) {
-        return ref(frame -> {
+        return objectCode(frame -> {
             List<Object> values = new ArrayList<>(elements.length);
             for (Code element : elements) {
-                Object value = element.ref(frame);
+                Object value = element.object(frame);
                 if (value == null) {
                     return null;
                 }
@@ -216,10 +226,10 @@
     }
 
     private static Code map(List<String> keys, Code[] values) {
-        return ref(frame -> {
+        return objectCode(frame -> {
             Map<String, Object> map = new LinkedHashMap<>();
             for (int i = 0; i < values.length; i++) {
-                Object value = values[i].ref(frame);
+                Object value = values[i].object(frame);
                 if (value == null) {
                     return null;
                 }
@@ -229,11 +239,12 @@
         });
     }
 
-    private static Code general(Function.Body body, Code[] parts) {
-        return ref(frame -> {
-            Object[] arguments = new Object[parts.length];
-            for (int i = 0; i < parts.length; i++) {
-                arguments[i] = parts[i].ref(frame);
+    /** Calls a function through its body, with all arguments as objects; the first argument that fails is the result. */
+    private static Code generic(Function.Body body, Code[] argumentCodes) {
+        return objectCode(frame -> {
+            Object[] arguments = new Object[argumentCodes.length];
+            for (int i = 0; i < argumentCodes.length; i++) {
+                arguments[i] = argumentCodes[i].object(frame);
                 if (arguments[i] == null) {
                     return null;
                 }
@@ -247,9 +258,10 @@
         });
     }
 
-    // ---- Parts of their own
+    // ---- Specialized code
 
-    private Code special(Node.Call call) {
+    /** The specialized code for a call, or null if there is none for this function with these operand types. */
+    private Code specialized(Node.Call call) {
         List<Node> nodes = call.arguments();
         Node first = nodes.get(0);
         Node second = nodes.size() > 1 ? nodes.get(1) : null;
@@ -257,13 +269,13 @@
             case "!" -> not(compile(first));
             case "==", "!=" -> equality(call.function().name().equals("=="), first, second);
             case "<", "<=", ">", ">=" -> first.type().isLong()
-                ? order(call.function().name(), compile(first), compile(second)) : null;
+                ? comparison(call.function().name(), compile(first), compile(second)) : null;
             case "+", "-", "*" -> second != null && call.type().isLong()
-                ? exact(call.function().name(), compile(first), compile(second)) : null;
+                ? checkedArithmetic(call.function().name(), compile(first), compile(second)) : null;
             case "in" -> membership(first, second);
-            case "[]" -> first.type().kind() == Kind.MAP ? lookUp(compile(first), compile(second)) : null;
+            case "[]" -> first.type().kind() == Kind.MAP ? mapLookup(compile(first), compile(second)) : null;
             case "orValue" -> orValue(first, second);
-            case "startsWith", "endsWith", "contains" -> text(call.function().name(), Operand.of(first, this),
+            case "startsWith", "endsWith", "contains" -> stringTest(call.function().name(), Operand.of(first, this),
                 Operand.of(second, this));
             case "matches" -> matches(Operand.of(first, this), (Pattern) ((Node.Constant) second).value());
             case "size" -> size(Operand.of(first, this));
@@ -273,83 +285,87 @@
         };
     }
 
-    private static Code not(Code part) {
+    private static Code not(Code operand) {
         return new Code.Bool() {
             @Override
             int bool(Frame frame) {
-                int value = part.bool(frame);
+                int value = operand.bool(frame);
                 return value == ERROR ? value : 1 - value;
             }
         };
     }
 
-    private Code equality(boolean same, Node first, Node second) {
-        int yes = same ? 1 : 0;
+    /** The operator == or, where {@code equals} is false, !=. */
+    private Code equality(boolean equals, Node first, Node second) {
+        int whenEqual = equals ? 1 : 0;
         if (first.type() == Type.STRING || first.type() == Type.BYTES) {
-            return plainEquality(yes, Operand.of(first, this), Operand.of(second, this));
+            return stringEquality(whenEqual, Operand.of(first, this), Operand.of(second, this));
         }
         Code a = compile(first);
         Code b = compile(second);
         if (first.type().isLong()) {
-            return test(frame -> {
+            return boolCode(frame -> {
                 long x = a.number(frame);
                 if (frame.error() != null) {
                     return Code.ERROR;
                 }
                 long y = b.number(frame);
-                return frame.error() != null ? Code.ERROR : x == y ? yes : 1 - yes;
+                return frame.error() != null ? Code.ERROR : x == y ? whenEqual : 1 - whenEqual;
             });
         }
         if (first.type() == Type.BOOL) {
-            return test(frame -> {
+            return boolCode(frame -> {
                 int x = a.bool(frame);
                 if (x == Code.ERROR) {
                     return x;
                 }
                 int y = b.bool(frame);
-                return y == Code.ERROR ? y : x == y ? yes : 1 - yes;
+                return y == Code.ERROR ? y : x == y ? whenEqual : 1 - whenEqual;
             });
         }
-        return test(frame -> {
-            Object x = a.ref(frame);
+        return boolCode(frame -> {
+            Object x = a.object(frame);
             if (x == null) {
                 return Code.ERROR;
             }
-            Object y = b.ref(frame);
-            return y == null ? Code.ERROR : Values.equal(x, y) ? yes : 1 - yes;
+            Object y = b.object(frame);
+            return y == null ? Code.ERROR : Values.equal(x, y) ? whenEqual : 1 - whenEqual;
         });
     }
 
-    private static Code plainEquality(int yes, Operand a, Operand b) {
+    /** Compares strings or bytes, for which {@link Object#equals} is the equality of the language. */
+    private static Code stringEquality(int whenEqual, Operand a, Operand b) {
         return new Code.Bool() {
             @Override
             int bool(Frame frame) {
-                Object x = a.ref(frame);
+                Object x = a.object(frame);
                 if (x == null) {
                     return ERROR;
                 }
-                Object y = b.ref(frame);
-                return y == null ? ERROR : x.equals(y) ? yes : 1 - yes;
+                Object y = b.object(frame);
+                return y == null ? ERROR : x.equals(y) ? whenEqual : 1 - whenEqual;
             }
         };
     }
 
-    private static Code order(String name, Code a, Code b) {
-        boolean less = name.startsWith("<");
-        int equal = name.length() == 2 ? 1 : 0;
-        return test(frame -> {
+    /** Orders two integers, durations or timestamps. */
+    private static Code comparison(String operator, Code a, Code b) {
+        boolean isLess = operator.startsWith("<");
+        int whenEqual = operator.length() == 2 ? 1 : 0;
+        return boolCode(frame -> {
             long x = a.number(frame);
             if (frame.error() != null) {
                 return Code.ERROR;
             }
             long y = b.number(frame);
-            return frame.error() != null ? Code.ERROR : x == y ? equal : x < y == less ? 1 : 0;
+            return frame.error() != null ? Code.ERROR : x == y ? whenEqual : x < y == isLess ? 1 : 0;
         });
     }
 
-    private static Code exact(String name, Code a, Code b) {
-        char sign = name.charAt(0);
-        return number(frame -> {
+    /** Adds, subtracts or multiplies longs; a result beyond 64 bits is the error {@link ErrorKind#OVERFLOW}. */
+    private static Code checkedArithmetic(String name, Code a, Code b) {
+        char operator = name.charAt(0);
+        return numberCode(frame -> {
             long x = a.number(frame);
             if (frame.error() != null) {
                 return 0;
@@ -358,57 +374,59 @@
             if (frame.error() != null) {
                 return 0;
             }
-            long result = sign == '+' ? x + y : sign == '-' ? x - y : x * y;
-            boolean over = switch (sign) {
+            long result = operator == '+' ? x + y : operator == '-' ? x - y : x * y;
+            boolean overflows = switch (operator) {
                 case '+' -> ((x ^ result) & (y ^ result)) < 0;
                 case '-' -> ((x ^ y) & (x ^ result)) < 0;
                 default -> Math.multiplyHigh(x, y) != result >> 63;
             };
-            if (over) {
+            if (overflows) {
                 frame.error(ErrorKind.OVERFLOW);
             }
             return result;
         });
     }
 
+    /** The operator in, for the keys of a map and for a constant list of values whose equality is {@link Object#equals}. */
     private Code membership(Node first, Node second) {
-        Operand a = Operand.of(first, this);
+        Operand element = Operand.of(first, this);
         if (second.type().kind() == Kind.MAP) {
-            Operand map = Operand.of(second, this);
-            return test(frame -> {
-                Object key = a.ref(frame);
+            Operand mapOperand = Operand.of(second, this);
+            return boolCode(frame -> {
+                Object key = element.object(frame);
                 if (key == null) {
                     return Code.ERROR;
                 }
-                Object held = map.ref(frame);
-                return held == null ? Code.ERROR : ((Map<?, ?>) held).containsKey(key) ? 1 : 0;
+                Object entries = mapOperand.object(frame);
+                return entries == null ? Code.ERROR : ((Map<?, ?>) entries).containsKey(key) ? 1 : 0;
             });
         }
-        boolean plain = first.type() == Type.STRING || first.type() == Type.BYTES || first.type().isLong();
-        if (!plain || !(second instanceof Node.Constant constant)) {
+        boolean comparesByEquals = first.type() == Type.STRING || first.type() == Type.BYTES || first.type().isLong();
+        if (!comparesByEquals || !(second instanceof Node.Constant constant)) {
             return null;
         }
-        Set<Object> set = new HashSet<>((List<?>) constant.value());
+        Set<Object> elements = new HashSet<>((List<?>) constant.value());
         return new Code.Bool() {
             @Override
             int bool(Frame frame) {
-                Object value = a.ref(frame);
-                return value == null ? ERROR : set.contains(value) ? 1 : 0;
+                Object value = element.object(frame);
+                return value == null ? ERROR : elements.contains(value) ? 1 : 0;
             }
         };
     }
 
-    private static Code lookUp(Code map, Code key) {
-        return ref(frame -> {
-            Object held = map.ref(frame);
-            if (held == null) {
+    /** A map's value for a key; a missing key is the error {@link ErrorKind#NO_SUCH_KEY}. */
+    private static Code mapLookup(Code map, Code key) {
+        return objectCode(frame -> {
+            Object entries = map.object(frame);
+            if (entries == null) {
                 return null;
             }
-            Object name = key.ref(frame);
-            if (name == null) {
+            Object keyValue = key.object(frame);
+            if (keyValue == null) {
                 return null;
             }
-            Object value = ((Map<?, ?>) held).get(name);
+            Object value = ((Map<?, ?>) entries).get(keyValue);
             if (value == null) {
                 frame.error(ErrorKind.NO_SUCH_KEY);
             }
@@ -416,49 +434,50 @@
         });
     }
 
-    /** What a map may lack needs no optional where a default stands right behind. */
-    private Code orValue(Node optional, Node otherwise) {
-        boolean looked = optional instanceof Node.Call call && call.function().name().equals("[?]")
+    /** Compiles {@code map[?key].orValue(default)} to a direct lookup that creates no {@link java.util.Optional}. */
+    private Code orValue(Node optional, Node defaultNode) {
+        boolean isMapLookup = optional instanceof Node.Call call && call.function().name().equals("[?]")
             && call.arguments().get(0).type().kind() == Kind.MAP;
-        if (!looked) {
+        if (!isMapLookup) {
             return null;
         }
         Code map = compile(((Node.Call) optional).arguments().get(0));
         Code key = compile(((Node.Call) optional).arguments().get(1));
-        Code other = compile(otherwise);
-        return ref(frame -> {
-            Object held = map.ref(frame);
-            if (held == null) {
+        Code defaultCode = compile(defaultNode);
+        return objectCode(frame -> {
+            Object entries = map.object(frame);
+            if (entries == null) {
                 return null;
             }
-            Object name = key.ref(frame);
-            if (name == null) {
+            Object keyValue = key.object(frame);
+            if (keyValue == null) {
                 return null;
             }
-            Object fallback = other.ref(frame);
-            if (fallback == null) {
+            Object defaultValue = defaultCode.object(frame);
+            if (defaultValue == null) {
                 return null;
             }
-            Object value = ((Map<?, ?>) held).get(name);
-            return value == null ? fallback : value;
+            Object value = ((Map<?, ?>) entries).get(keyValue);
+            return value == null ? defaultValue : value;
         });
     }
 
-    private static Code text(String name, Operand a, Operand b) {
-        return switch (name) {
-            case "startsWith" -> new Text(a, b) {
+    /** The code of startsWith, endsWith or contains. */
+    private static Code stringTest(String function, Operand a, Operand b) {
+        return switch (function) {
+            case "startsWith" -> new StringTest(a, b) {
                 @Override
                 boolean holds(String text, String other) {
                     return text.startsWith(other);
                 }
             };
-            case "endsWith" -> new Text(a, b) {
+            case "endsWith" -> new StringTest(a, b) {
                 @Override
                 boolean holds(String text, String other) {
                     return text.endsWith(other);
                 }
             };
-            default -> new Text(a, b) {
+            default -> new StringTest(a, b) {
                 @Override
                 boolean holds(String text, String other) {
                     return text.contains(other);
@@ -467,39 +486,39 @@
         };
     }
 
-    /** A question about two strings. */
-    private abstract static class Text extends Code.Bool {
-        private final Operand a;
-        private final Operand b;
+    /** A bool function of two strings. */
+    private abstract static class StringTest extends Code.Bool {
+        private final Operand left;
+        private final Operand right;
 
-        private Text(Operand a, Operand b) {
-            this.a = a;
-            this.b = b;
+        private StringTest(Operand left, Operand right) {
+            this.left = left;
+            this.right = right;
         }
 
         abstract boolean holds(String text, String other);
 
         @Override
         final int bool(Frame frame) {
-            Object text = a.ref(frame);
+            Object text = left.object(frame);
             if (text == null) {
                 return ERROR;
             }
-            Object other = b.ref(frame);
+            Object other = right.object(frame);
             return other == null ? ERROR : holds((String) text, (String) other) ? 1 : 0;
         }
     }
 
     private static Code matches(Operand text, Pattern pattern) {
-        return test(frame -> {
-            String value = (String) text.ref(frame);
+        return boolCode(frame -> {
+            String value = (String) text.object(frame);
             return value == null ? Code.ERROR : pattern.matcher(value).find() ? 1 : 0;
         });
     }
 
-    private static Code size(Operand held) {
-        return number(frame -> {
-            Object value = held.ref(frame);
+    private static Code size(Operand operand) {
+        return numberCode(frame -> {
+            Object value = operand.object(frame);
             return value == null ? 0 : value instanceof String text ? text.length()
                 : value instanceof List<?> list ? list.size() : value instanceof Map<?, ?> map ? map.size()
                 : ((Bytes) value).size();
@@ -507,23 +526,23 @@
     }
 
     private static Code hash(Operand key) {
-        return number(frame -> {
-            Object value = key.ref(frame);
-            return value == null ? 0 : Texts.hash(value);
+        return numberCode(frame -> {
+            Object value = key.object(frame);
+            return value == null ? 0 : Conversions.hash(value);
         });
     }
 
-    private static Code bucket(Operand key, Code buckets) {
-        return number(frame -> {
-            Object value = key.ref(frame);
+    private static Code bucket(Operand key, Code bucketCount) {
+        return numberCode(frame -> {
+            Object value = key.object(frame);
             if (value == null) {
                 return 0;
             }
-            long count = buckets.number(frame);
+            long count = bucketCount.number(frame);
             if (frame.error() == null && count < 1) {
                 frame.error(ErrorKind.OUT_OF_RANGE);
             }
-            return frame.error() != null ? 0 : Long.remainderUnsigned(Texts.hash(value), count);
+            return frame.error() != null ? 0 : Long.remainderUnsigned(Conversions.hash(value), count);
         });
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Texts.java
+++ b/expression/src/main/java/ledgewall/expression/Conversions.java
@@ -16,29 +16,34 @@
 import java.time.ZoneOffset;
 import java.time.format.DateTimeFormatter;
 
-/** Between texts and other values. What cannot be converted is an {@link ErrorKind}. */
-final class Texts {
+/**
+ * Conversions between strings and other values, and the functions that depend on them: hashes and address ranges. A
+ * conversion that fails returns an {@link ErrorKind}. Durations and timestamps are in nanoseconds, timestamps since the Unix
+ * epoch.
+ */
+final class Conversions {
+    // units of time, in nanoseconds
     static final long MILLISECOND = 1_000_000L;
     static final long SECOND = 1_000 * MILLISECOND;
     static final long MINUTE = 60 * SECOND;
     static final long HOUR = 60 * MINUTE;
     static final long DAY = 24 * HOUR;
-    /** No number, time or address that is one is longer; nothing longer is looked at. */
-    private static final int LONGEST = 64;
+    /** Limit on the length of a number, time or address, in characters. Longer texts are rejected without being parsed. */
+    private static final int MAX_CHARS = 64;
     private static final Pattern NUMBER = Pattern.compile("[+-]?([0-9]+(\\.[0-9]*)?|\\.[0-9]+)([eE][+-]?[0-9]+)?");
     private static final Pattern INTEGER = Pattern.compile("[+-]?[0-9]+");
-    private static final Pattern SPAN = Pattern.compile("([0-9]{1,19}(?:\\.[0-9]{1,9})?)(h|ms|m|s|us|ns)");
-    private static final IPAddressStringParameters PLAIN = new IPAddressStringParameters.Builder()
+    private static final Pattern DURATION_PART = Pattern.compile("([0-9]{1,19}(?:\\.[0-9]{1,9})?)(h|ms|m|s|us|ns)");
+    private static final IPAddressStringParameters STRICT_ADDRESS = new IPAddressStringParameters.Builder()
         .allowEmpty(false).allowAll(false).allowSingleSegment(false).allowWildcardedSeparator(false).allowMask(false)
         .setRangeOptions(inet.ipaddr.AddressStringParameters.RangeParameters.NO_RANGE)
         .getIPv4AddressParametersBuilder().allow_inet_aton(false).getParentBuilder()
         .getIPv6AddressParametersBuilder().allowZone(false).getParentBuilder().toParams();
 
-    private Texts() {
+    private Conversions() {
     }
 
     static Object toInt(String text) {
-        if (text.length() > LONGEST || !INTEGER.matches(text)) {
+        if (text.length() > MAX_CHARS || !INTEGER.matches(text)) {
             return ErrorKind.BAD_CONVERSION;
         }
         try {
@@ -49,30 +54,30 @@
     }
 
     static Object toDouble(String text) {
-        return text.length() > LONGEST || !NUMBER.matches(text) ? ErrorKind.BAD_CONVERSION : (Object) Double.parseDouble(text);
+        return text.length() > MAX_CHARS || !NUMBER.matches(text) ? ErrorKind.BAD_CONVERSION : (Object) Double.parseDouble(text);
     }
 
-    /** Numbers with units, one after the other, a sign before them all. */
+    /** Parses a sequence of decimal numbers with units, such as 1h30m, with an optional minus sign in front of all of them. */
     static Object toDuration(String text) {
-        int sign = text.startsWith("-") ? 1 : 0;
-        if (text.length() > LONGEST || text.length() == sign) {
+        int signLength = text.startsWith("-") ? 1 : 0;
+        if (text.length() > MAX_CHARS || text.length() == signLength) {
             return ErrorKind.BAD_CONVERSION;
         }
-        BigDecimal sum = BigDecimal.ZERO;
-        Matcher part = SPAN.matcher(text);
-        for (int at = sign; at < text.length(); at = part.end()) {
-            if (!part.find(at) || part.start() != at) {
+        BigDecimal totalNanos = BigDecimal.ZERO;
+        Matcher part = DURATION_PART.matcher(text);
+        for (int offset = signLength; offset < text.length(); offset = part.end()) {
+            if (!part.find(offset) || part.start() != offset) {
                 return ErrorKind.BAD_CONVERSION;
             }
-            sum = sum.add(new BigDecimal(part.group(1)).multiply(BigDecimal.valueOf(unit(part.group(2)))));
+            totalNanos = totalNanos.add(new BigDecimal(part.group(1)).multiply(BigDecimal.valueOf(unitNanos(part.group(2)))));
         }
-        BigDecimal nanos = (sign == 1 ? sum.negate() : sum).setScale(0, java.math.RoundingMode.DOWN);
+        BigDecimal nanos = (signLength == 1 ? totalNanos.negate() : totalNanos).setScale(0, java.math.RoundingMode.DOWN);
         return nanos.compareTo(BigDecimal.valueOf(Long.MIN_VALUE)) < 0 || nanos.compareTo(BigDecimal.valueOf(Long.MAX_VALUE)) > 0
             ? ErrorKind.OVERFLOW : (Object) nanos.longValue();
     }
 
-    private static long unit(String name) {
-        return switch (name) {
+    private static long unitNanos(String unit) {
+        return switch (unit) {
             case "h" -> HOUR;
             case "m" -> MINUTE;
             case "s" -> SECOND;
@@ -83,12 +88,12 @@
     }
 
     static Object toTimestamp(String text) {
-        if (text.length() > LONGEST) {
+        if (text.length() > MAX_CHARS) {
             return ErrorKind.BAD_CONVERSION;
         }
         try {
-            Instant at = DateTimeFormatter.ISO_OFFSET_DATE_TIME.parse(text, Instant::from);
-            return Math.addExact(Math.multiplyExact(at.getEpochSecond(), SECOND), at.getNano());
+            Instant instant = DateTimeFormatter.ISO_OFFSET_DATE_TIME.parse(text, Instant::from);
+            return Math.addExact(Math.multiplyExact(instant.getEpochSecond(), SECOND), instant.getNano());
         } catch (DateTimeException e) {
             return ErrorKind.BAD_CONVERSION;
         } catch (ArithmeticException e) {
@@ -112,6 +117,7 @@
         return instant(nanos).atOffset(ZoneOffset.UTC).getYear();
     }
 
+    /** Decodes UTF-8; malformed input is an error. */
     static Object decode(Bytes bytes) {
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes.array())).toString();
@@ -120,6 +126,7 @@
         }
     }
 
+    /** Encodes to UTF-8; an unpaired surrogate is an error. */
     static Object encode(String text) {
         try {
             ByteBuffer encoded = StandardCharsets.UTF_8.newEncoder().encode(CharBuffer.wrap(text));
@@ -131,28 +138,28 @@
         }
     }
 
-    /** XXH3 of a string's UTF-16 characters, of bytes, or of an integer's eight bytes, the lowest first. */
+    /** The 64-bit XXH3 hash of a string's UTF-16 code units, of bytes, or of an integer's eight bytes in little-endian order. */
     static long hash(Object value) {
         if (value instanceof String text) {
             return Hashing.xxh3_64().hashCharsToLong(text);
         }
-        byte[] bytes = value instanceof Bytes held ? held.array()
+        byte[] bytes = value instanceof Bytes content ? content.array()
             : ByteBuffer.allocate(Long.BYTES).order(java.nio.ByteOrder.LITTLE_ENDIAN).putLong((Long) value).array();
         return Hashing.xxh3_64().hashBytesToLong(bytes);
     }
 
-    /** An address range, or null if the text is none. */
-    static IPAddress range(String text) {
-        return address(text);
+    /** Parses an address range; null if the text is not one. */
+    static IPAddress parseRange(String text) {
+        return parseAddress(text);
     }
 
-    private static IPAddress address(String text) {
-        return text.length() > LONGEST ? null : new IPAddressString(text, PLAIN).getAddress();
+    private static IPAddress parseAddress(String text) {
+        return text.length() > MAX_CHARS ? null : new IPAddressString(text, STRICT_ADDRESS).getAddress();
     }
 
-    /** Whether an address lies in a range, which has been read at load. */
+    /** Whether an address lies in a range that was parsed when the expression was loaded; an error if the text is no address. */
     static Object inRange(String text, Object range) {
-        IPAddress address = text.indexOf('/') >= 0 ? null : address(text);
+        IPAddress address = text.indexOf('/') >= 0 ? null : parseAddress(text);
         return address == null ? ErrorKind.BAD_CONVERSION : (Object) ((IPAddress) range).toPrefixBlock().contains(address);
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Costs.java
+++ b/expression/src/main/java/ledgewall/expression/Costs.java
@@ -1,38 +1,42 @@
 package ledgewall.expression;
 
 /**
- * What evaluation costs, in steps and bytes. The same formulas give the bound at load, from the greatest sizes, and the
- * count in test mode, from the actual ones; each grows with each of its arguments, so the second never exceeds the first.
+ * The cost of operations, in steps and in bytes allocated. The same formulas give the bound when an expression is loaded,
+ * from the largest possible sizes, and the cost that the interpreter counts, from the actual sizes. Every formula is
+ * monotonic in each argument, so the counted cost never exceeds the bound.
  */
 final class Costs {
-    /** Characters that one step looks at. */
-    static final long CHUNK = 16;
+    /** Characters or bytes that an operation processes in one step. */
+    static final long CHARS_PER_STEP = 16;
 
     private Costs() {
     }
 
-    /** Steps to look at so many characters or bytes. */
-    static long chars(long count) {
-        return 1 + count / CHUNK;
+    /** Steps to process the given number of characters or bytes. */
+    static long charSteps(long count) {
+        return 1 + count / CHARS_PER_STEP;
     }
 
-    /** Steps of a search that may compare at each place. */
-    static long search(long text, long part) {
-        return Size.times(1 + text, chars(part));
+    /** Steps of a substring search that compares at every position of the text; lengths are in characters. */
+    static long searchSteps(long textLength, long partLength) {
+        return Size.times(1 + textLength, charSteps(partLength));
     }
 
-    /** Steps of a linear-time regular expression over a text: a part of the program for each character at most. */
-    static long match(long text, long program) {
-        return Size.times(1 + text, 1 + program / CHUNK);
+    /**
+     * Steps to match a linear-time regular expression: at most the whole compiled program for each character of the text.
+     * The text is measured in characters, the program in instructions.
+     */
+    static long matchSteps(long textLength, long programSize) {
+        return Size.times(1 + textLength, 1 + programSize / CHARS_PER_STEP);
     }
 
-    /** Bytes of a new string. */
-    static long string(long chars) {
+    /** Bytes allocated for a new string. */
+    static long stringBytes(long chars) {
         return Size.plus(2 * Size.OBJECT, Size.times(2, chars));
     }
 
-    /** Bytes of a new list or map without what it holds. */
-    static long container(long count) {
-        return Size.plus(4 * Size.OBJECT, Size.times(count, Size.OBJECT + Size.REFERENCE));
+    /** Bytes allocated for a new list or map, without its elements. */
+    static long containerBytes(long elements) {
+        return Size.plus(4 * Size.OBJECT, Size.times(elements, Size.OBJECT + Size.REFERENCE));
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Frame.java
+++ b/expression/src/main/java/ledgewall/expression/Frame.java
@@ -1,64 +1,78 @@
 package ledgewall.expression;
 
 /**
- * The attributes of one request, given by who took it in. A frame can be used for one request after another; not by two
- * threads at once.
+ * The attribute values of one request, set by the caller, and the state of an evaluation. A frame can be reused for one
+ * request after another, but not by two threads at once.
  */
 public final class Frame {
     private final Schema.Attribute[] attributes;
+    /** Attribute values by index; an {@link ErrorKind} for an attribute that is absent or too large. */
     private final Object[] values;
-    private final long[] longs;
-    /** Results of shared expressions, each valid for the request of its stamp. */
+    /** The unboxed values of the attributes that are integers, durations or timestamps. */
+    private final long[] numbers;
+    /** Results of shared expressions by slot; one is valid if its generation is the current one. */
     private Object[] shared = new Object[0];
-    private long[] stamps = new long[0];
-    private long stamp = 1;
-    /** What comprehensions go over; a slot holds an element while its body is evaluated. */
+    private long[] sharedGenerations = new long[0];
+    /** Incremented whenever the results of shared expressions become invalid. */
+    private long generation = 1;
+    /** Variables of comprehensions by slot: the current list element while a body is evaluated. */
     private Object[] variables = new Object[0];
+    /** The {@link Expressions} whose results {@link #shared} holds, since slots of different ones are unrelated. */
     private Object owner;
     private ErrorKind error;
 
     public Frame(Schema schema) {
         attributes = schema.attributes().toArray(new Schema.Attribute[0]);
         values = new Object[attributes.length];
-        longs = new long[attributes.length];
+        numbers = new long[attributes.length];
         clear();
     }
 
-    /** Begins another request: nothing is known of it. */
+    /** Resets the frame for another request: all attributes are absent. */
     public void clear() {
         java.util.Arrays.fill(values, ErrorKind.ABSENT);
-        stamp++;
+        generation++;
     }
 
-    /** Gives an attribute its value. One of another type is a fault; one that is too large is an error of its own. */
+    /**
+     * Sets the value of an attribute. A value that is larger than the schema allows is stored as
+     * {@link ErrorKind#TOO_LARGE}.
+     *
+     * @throws IllegalArgumentException if the attribute is not from this frame's schema, or the value is of another type
+     */
     public void set(Schema.Attribute attribute, Object value) {
-        if (attributes[attribute.index()] != attribute || !Values.fits(value, attribute.type())) {
-            throw new IllegalArgumentException("'" + attribute.name() + "' is no " + value.getClass().getSimpleName());
+        if (attributes[attribute.index()] != attribute || !Values.isOfType(value, attribute.type())) {
+            throw new IllegalArgumentException("'" + attribute.name() + "' is not an attribute of this schema that takes a "
+                + value.getClass().getSimpleName());
         }
-        stamp++;
+        generation++;
         boolean fits = Values.within(Values.measure(value), attribute.size());
         values[attribute.index()] = fits ? value : ErrorKind.TOO_LARGE;
-        longs[attribute.index()] = value instanceof Long number ? number : 0;
+        numbers[attribute.index()] = value instanceof Long number ? number : 0;
     }
 
-    /** An attribute's value, or the error that stands for it. */
+    /** An attribute's value, or an {@link ErrorKind} if it has none. */
     Object value(int index) {
         return values[index];
     }
 
+    /** The unboxed value of an attribute that is an integer, duration or timestamp; valid if it is no error. */
     long number(int index) {
-        return longs[index];
+        return numbers[index];
     }
 
-    /** Makes room for a program's shared expressions and comprehensions; what others have shared is forgotten. */
-    void reserve(Object programs, int sharedSlots, int variableSlots) {
-        if (programs != owner) {
-            owner = programs;
-            stamp++;
+    /**
+     * Allocates the slots for a program's shared expressions and comprehension variables. Results that were stored for
+     * another owner become invalid.
+     */
+    void reserve(Object newOwner, int sharedSlots, int variableSlots) {
+        if (newOwner != owner) {
+            owner = newOwner;
+            generation++;
         }
         if (shared.length < sharedSlots) {
             shared = java.util.Arrays.copyOf(shared, sharedSlots);
-            stamps = java.util.Arrays.copyOf(stamps, sharedSlots);
+            sharedGenerations = java.util.Arrays.copyOf(sharedGenerations, sharedSlots);
         }
         if (variables.length < variableSlots) {
             variables = new Object[variableSlots];
@@ -66,16 +80,16 @@
     }
 
     boolean hasShared(int slot) {
-        return stamps[slot] == stamp;
+        return sharedGenerations[slot] == generation;
     }
 
     Object shared(int slot) {
         return shared[slot];
     }
 
-    void share(int slot, Object value) {
+    void storeShared(int slot, Object value) {
         shared[slot] = value;
-        stamps[slot] = stamp;
+        sharedGenerations[slot] = generation;
     }
 
     Object variable(int slot) {
@@ -86,7 +100,7 @@
         variables[slot] = value;
     }
 
-    /** The error that the value in hand is, or null. */
+    /** The error of the current evaluation, or null. */
     ErrorKind error() {
         return error;
     }
--- a/expression/src/main/java/ledgewall/expression/Functions.java
+++ b/expression/src/main/java/ledgewall/expression/Functions.java
@@ -16,125 +16,138 @@
 import ledgewall.expression.Function.Typing;
 import ledgewall.expression.Type.Kind;
 
-/** Every function, method and operator of the language; what is not here is not in it. */
+/**
+ * Every function, method and operator of the language. In the lambdas below, t are the types of the arguments, s their sizes,
+ * a their values, and c those that are constants, with null for the others.
+ */
 final class Functions {
-    /** A regular expression's source and its compiled program; counted repetition makes the second grow. */
-    private static final int LONGEST_PATTERN = 512;
-    private static final int LARGEST_PROGRAM = 2_000;
-    /** Characters of the longest number, duration, timestamp or address, written out. */
-    private static final long WRITTEN = 64;
-
-    private static final Sizing FIXED = sizes -> Size.ONE;
+    /**
+     * Limits on a regular expression: characters of its source, and instructions of its compiled program, which counted
+     * repetition can make much larger than the source.
+     */
+    private static final int MAX_PATTERN_CHARS = 512;
+    private static final int MAX_PROGRAM_INSTRUCTIONS = 2_000;
+    /** Upper bound on the length of a number, duration, timestamp or address in text form, in characters. */
+    private static final long MAX_FORMATTED_CHARS = 64;
+
+    // sizes of results, steps and allocated bytes of a call, and the check of constant arguments
+    private static final Sizing FIXED_SIZE = sizes -> Size.ONE;
     private static final Pricing ONE_STEP = (sizes, result) -> 1;
-    private static final Pricing NOTHING = (sizes, result) -> 0;
+    private static final Pricing NO_BYTES = (sizes, result) -> 0;
     private static final Pricing ONE_OBJECT = (sizes, result) -> Size.OBJECT;
-    private static final Pricing RESULT = (sizes, result) -> Costs.string(result.count());
-    private static final Check ANY = constants -> null;
+    private static final Pricing NEW_STRING = (sizes, result) -> Costs.stringBytes(result.count());
+    private static final Check NO_CHECK = constants -> null;
 
-    private static final Map<String, List<Function>> ALL = new LinkedHashMap<>();
+    /** Functions by form and name, in the order of their declaration. */
+    private static final Map<String, List<Function>> BY_FORM_AND_NAME = new LinkedHashMap<>();
 
     static {
-        operators();
-        strings();
-        conversions();
-        times();
-        keys();
-        optionals();
+        addOperators();
+        addStrings();
+        addConversions();
+        addTimes();
+        addKeysAndRanges();
+        addOptionals();
     }
 
     private Functions() {
     }
 
-    /** Those of a name, in the order in which they are tried; null for none. */
+    /** The overloads of a name in the order in which they are tried; empty if there are none. */
     static List<Function> named(String name, Form form) {
-        List<Function> all = ALL.get(form + name);
-        return all == null ? List.of() : all;
+        List<Function> overloads = BY_FORM_AND_NAME.get(form + name);
+        return overloads == null ? List.of() : overloads;
     }
 
     static List<Function> all() {
-        return ALL.values().stream().flatMap(List::stream).toList();
+        return BY_FORM_AND_NAME.values().stream().flatMap(List::stream).toList();
     }
 
     private static void add(Function function) {
-        ALL.computeIfAbsent(function.form() + function.name(), key -> new ArrayList<>()).add(function);
+        BY_FORM_AND_NAME.computeIfAbsent(function.form() + function.name(), key -> new ArrayList<>()).add(function);
     }
 
+    /** The typing of a function with exactly these parameter types. */
     private static Typing exactly(Type result, Type... parameters) {
-        List<Type> wanted = List.of(parameters);
-        return arguments -> arguments.equals(wanted) ? result : null;
+        List<Type> expected = List.of(parameters);
+        return arguments -> arguments.equals(expected) ? result : null;
     }
 
-    private static Pricing walkShorter(int part) {
-        return (sizes, result) -> Costs.chars(Math.min(sizes.get(0).count(), sizes.get(1).count())) + part;
+    /** Steps to compare two strings or byte strings up to the length of the shorter one, plus a fixed number. */
+    private static Pricing compareShorter(int extraSteps) {
+        return (sizes, result) -> Costs.charSteps(Math.min(sizes.get(0).count(), sizes.get(1).count())) + extraSteps;
     }
 
     // ---- Operators
 
-    private static void operators() {
+    private static void addOperators() {
         for (String name : List.of("==", "!=")) {
-            boolean same = name.equals("==");
-            add(new Function(name, Form.OPERATOR, "T, T: bool", same ? "whether two values of one type are equal"
+            boolean isEqual = name.equals("==");
+            add(new Function(name, Form.OPERATOR, "T, T: bool", isEqual ? "whether two values of one type are equal"
                 : "whether they are not", "1 and the smaller of both walked through",
-                types -> types.get(0).equals(types.get(1)) ? Type.BOOL : null, FIXED,
-                (sizes, result) -> Math.min(walked(sizes.get(0)), walked(sizes.get(1))), NOTHING,
-                arguments -> Values.equal(arguments[0], arguments[1]) == same, ANY));
+                types -> types.get(0).equals(types.get(1)) ? Type.BOOL : null, FIXED_SIZE,
+                (sizes, result) -> Math.min(traversalSteps(sizes.get(0)), traversalSteps(sizes.get(1))), NO_BYTES,
+                arguments -> Values.equal(arguments[0], arguments[1]) == isEqual, NO_CHECK));
         }
-        comparison("<", order -> order < 0, "whether the first comes before the second");
-        comparison("<=", order -> order <= 0, "whether the first comes no later than the second");
-        comparison(">", order -> order > 0, "whether the first comes after the second");
-        comparison(">=", order -> order >= 0, "whether the first comes no earlier than the second");
-        arithmetic();
-        add(new Function("!", Form.OPERATOR, "bool: bool", "not", "1", exactly(Type.BOOL, Type.BOOL), FIXED, ONE_STEP, NOTHING,
-            a -> !(Boolean) a[0], ANY));
+        addComparison("<", order -> order < 0, "whether the first comes before the second");
+        addComparison("<=", order -> order <= 0, "whether the first comes no later than the second");
+        addComparison(">", order -> order > 0, "whether the first comes after the second");
+        addComparison(">=", order -> order >= 0, "whether the first comes no earlier than the second");
+        addArithmetic();
+        add(new Function("!", Form.OPERATOR, "bool: bool", "not", "1", exactly(Type.BOOL, Type.BOOL), FIXED_SIZE, ONE_STEP,
+            NO_BYTES, a -> !(Boolean) a[0], NO_CHECK));
         add(new Function("+", Form.OPERATOR, "string, string: string", "one after the other", "1 and a 16th of the result",
             exactly(Type.STRING, Type.STRING, Type.STRING), s -> Size.chars(Size.plus(s.get(0).count(), s.get(1).count())),
-            (s, result) -> Costs.chars(result.count()), RESULT, a -> (String) a[0] + a[1], ANY));
+            (s, result) -> Costs.charSteps(result.count()), NEW_STRING, a -> (String) a[0] + a[1], NO_CHECK));
         add(new Function("+", Form.OPERATOR, "list(T), list(T): list(T)", "one after the other", "1 and its elements",
             t -> t.get(0).kind() == Kind.LIST && t.get(0).equals(t.get(1)) ? t.get(0) : null,
             s -> Size.list(Size.plus(s.get(0).count(), s.get(1).count()), s.get(0).of().or(s.get(1).of())),
-            (s, result) -> Size.plus(1, result.count()), (s, result) -> Costs.container(result.count()), a -> {
-                List<Object> both = new ArrayList<>((List<?>) a[0]);
-                both.addAll((List<?>) a[1]);
-                return both;
-            }, ANY));
+            (s, result) -> Size.plus(1, result.count()), (s, result) -> Costs.containerBytes(result.count()), a -> {
+                List<Object> concatenated = new ArrayList<>((List<?>) a[0]);
+                concatenated.addAll((List<?>) a[1]);
+                return concatenated;
+            }, NO_CHECK));
         add(new Function("in", Form.OPERATOR, "T, list(T): bool", "whether a list holds a value",
             "1 and each comparison; in a list of constants as much",
-            t -> t.get(1).kind() == Kind.LIST && t.get(0).equals(t.get(1).of()) ? Type.BOOL : null, FIXED,
-            (s, result) -> Size.plus(1, Size.times(s.get(1).count(), walked(s.get(0)))), NOTHING, a -> {
+            t -> t.get(1).kind() == Kind.LIST && t.get(0).equals(t.get(1).of()) ? Type.BOOL : null, FIXED_SIZE,
+            (s, result) -> Size.plus(1, Size.times(s.get(1).count(), traversalSteps(s.get(0)))), NO_BYTES, a -> {
                 for (Object element : (List<?>) a[1]) {
                     if (Values.equal(a[0], element)) {
                         return true;
                     }
                 }
                 return false;
-            }, ANY));
+            }, NO_CHECK));
         add(new Function("in", Form.OPERATOR, "string, map(string, T): bool", "whether a map has a key",
-            "1 and a 16th of the key", t -> t.get(1).kind() == Kind.MAP && t.get(0) == Type.STRING ? Type.BOOL : null, FIXED,
-            (s, result) -> Costs.chars(s.get(0).count()), NOTHING, a -> ((Map<?, ?>) a[1]).containsKey(a[0]), ANY));
-        indexes();
+            "1 and a 16th of the key", t -> t.get(1).kind() == Kind.MAP && t.get(0) == Type.STRING ? Type.BOOL : null, FIXED_SIZE,
+            (s, result) -> Costs.charSteps(s.get(0).count()), NO_BYTES, a -> ((Map<?, ?>) a[1]).containsKey(a[0]), NO_CHECK));
+        addIndexes();
     }
 
-    private static long walked(Size size) {
-        long own = Costs.chars(size.count());
-        return size.of() == null ? own
-            : Size.plus(1, Size.times(size.count(), Size.plus(walked(size.of()), Costs.chars(size.key()))));
+    /** Steps to visit a whole value of this size, nested values and map keys included. */
+    private static long traversalSteps(Size size) {
+        long ownSteps = Costs.charSteps(size.count());
+        return size.of() == null ? ownSteps
+            : Size.plus(1, Size.times(size.count(), Size.plus(traversalSteps(size.of()), Costs.charSteps(size.key()))));
     }
 
-    private interface Order {
+    /** Decides a comparison from the result of {@link Values#compare}. */
+    private interface OrderTest {
         boolean holds(int order);
     }
 
-    private static void comparison(String name, Order order, String meaning) {
+    private static void addComparison(String name, OrderTest test, String meaning) {
         add(new Function(name, Form.OPERATOR, "T, T: bool, T ordered", meaning, "1 and a 16th of the shorter",
-            t -> t.get(0).equals(t.get(1)) && t.get(0).isOrdered() ? Type.BOOL : null, FIXED, walkShorter(0), NOTHING, a -> {
+            t -> t.get(0).equals(t.get(1)) && t.get(0).isOrdered() ? Type.BOOL : null, FIXED_SIZE, compareShorter(0), NO_BYTES,
+            a -> {
                 if (a[0] instanceof Double x && a[1] instanceof Double y && (x.isNaN() || y.isNaN())) {
                     return false;
                 }
                 if (a[0] instanceof Double x && x.equals(-((Double) a[1])) && x == 0) {
-                    return order.holds(0); // the two zeros
+                    return test.holds(0); // 0.0 and -0.0 are equal, unlike in Double.compareTo
                 }
-                return order.holds(Values.compare(a[0], a[1]));
-            }, ANY));
+                return test.holds(Values.compare(a[0], a[1]));
+            }, NO_CHECK));
     }
 
     private interface LongOperation {
@@ -145,7 +158,8 @@
         double of(double a, double b);
     }
 
-    private static Body exact(LongOperation operation) {
+    /** An operation on two longs whose overflow is an error value. */
+    private static Body checked(LongOperation operation) {
         return a -> {
             try {
                 return operation.of((Long) a[0], (Long) a[1]);
@@ -155,220 +169,227 @@
         };
     }
 
-    private static void longs(String name, String meaning, LongOperation operation, Type a, Type b, Type result) {
-        add(new Function(name, Form.OPERATOR, a + ", " + b + ": " + result, meaning, "1", exactly(result, a, b), FIXED, ONE_STEP,
-            ONE_OBJECT, exact(operation), ANY));
+    private static void addIntegerOperator(String name, String meaning, LongOperation operation, Type a, Type b, Type result) {
+        add(new Function(name, Form.OPERATOR, a + ", " + b + ": " + result, meaning, "1", exactly(result, a, b), FIXED_SIZE,
+            ONE_STEP, ONE_OBJECT, checked(operation), NO_CHECK));
     }
 
-    private static void doubles(String name, String meaning, DoubleOperation operation) {
+    private static void addDoubleOperator(String name, String meaning, DoubleOperation operation) {
         add(new Function(name, Form.OPERATOR, "double, double: double", meaning, "1",
-            exactly(Type.DOUBLE, Type.DOUBLE, Type.DOUBLE), FIXED, ONE_STEP, ONE_OBJECT,
-            a -> operation.of((Double) a[0], (Double) a[1]), ANY));
-    }
-
-    private static void arithmetic() {
-        longs("+", "sum", Math::addExact, Type.INT, Type.INT, Type.INT);
-        longs("+", "sum", Math::addExact, Type.DURATION, Type.DURATION, Type.DURATION);
-        longs("+", "later by that", Math::addExact, Type.TIMESTAMP, Type.DURATION, Type.TIMESTAMP);
-        longs("-", "difference", Math::subtractExact, Type.INT, Type.INT, Type.INT);
-        longs("-", "difference", Math::subtractExact, Type.DURATION, Type.DURATION, Type.DURATION);
-        longs("-", "earlier by that", Math::subtractExact, Type.TIMESTAMP, Type.DURATION, Type.TIMESTAMP);
-        longs("-", "from the second to the first", Math::subtractExact, Type.TIMESTAMP, Type.TIMESTAMP, Type.DURATION);
-        longs("*", "product", Math::multiplyExact, Type.INT, Type.INT, Type.INT);
+            exactly(Type.DOUBLE, Type.DOUBLE, Type.DOUBLE), FIXED_SIZE, ONE_STEP, ONE_OBJECT,
+            a -> operation.of((Double) a[0], (Double) a[1]), NO_CHECK));
+    }
+
+    private static void addArithmetic() {
+        addIntegerOperator("+", "sum", Math::addExact, Type.INT, Type.INT, Type.INT);
+        addIntegerOperator("+", "sum", Math::addExact, Type.DURATION, Type.DURATION, Type.DURATION);
+        addIntegerOperator("+", "later by that", Math::addExact, Type.TIMESTAMP, Type.DURATION, Type.TIMESTAMP);
+        addIntegerOperator("-", "difference", Math::subtractExact, Type.INT, Type.INT, Type.INT);
+        addIntegerOperator("-", "difference", Math::subtractExact, Type.DURATION, Type.DURATION, Type.DURATION);
+        addIntegerOperator("-", "earlier by that", Math::subtractExact, Type.TIMESTAMP, Type.DURATION, Type.TIMESTAMP);
+        addIntegerOperator("-", "from the second to the first", Math::subtractExact, Type.TIMESTAMP, Type.TIMESTAMP,
+            Type.DURATION);
+        addIntegerOperator("*", "product", Math::multiplyExact, Type.INT, Type.INT, Type.INT);
         for (String name : List.of("/", "%")) {
-            boolean divides = name.equals("/");
-            add(new Function(name, Form.OPERATOR, "int, int: int", divides ? "quotient, towards zero" : "its remainder", "1",
-                exactly(Type.INT, Type.INT, Type.INT), FIXED, ONE_STEP, ONE_OBJECT, a -> {
-                    long by = (Long) a[1];
-                    if (by == 0) {
+            boolean isDivision = name.equals("/");
+            add(new Function(name, Form.OPERATOR, "int, int: int", isDivision ? "quotient, towards zero" : "its remainder", "1",
+                exactly(Type.INT, Type.INT, Type.INT), FIXED_SIZE, ONE_STEP, ONE_OBJECT, a -> {
+                    long divisor = (Long) a[1];
+                    if (divisor == 0) {
                         return ErrorKind.DIVISION_BY_ZERO;
                     }
-                    if (by == -1) {
-                        return !divides ? Long.valueOf(0)
+                    if (divisor == -1) {
+                        return !isDivision ? Long.valueOf(0)
                             : (Long) a[0] == Long.MIN_VALUE ? ErrorKind.OVERFLOW : (Object) (-(Long) a[0]);
                     }
-                    return divides ? (Long) a[0] / by : (Long) a[0] % by;
+                    return isDivision ? (Long) a[0] / divisor : (Long) a[0] % divisor;
                 }, constants -> Long.valueOf(0).equals(constants[1]) ? "division by zero" : null));
         }
-        doubles("+", "sum", (a, b) -> a + b);
-        doubles("-", "difference", (a, b) -> a - b);
-        doubles("*", "product", (a, b) -> a * b);
-        doubles("/", "quotient, by IEEE 754", (a, b) -> a / b);
+        addDoubleOperator("+", "sum", (a, b) -> a + b);
+        addDoubleOperator("-", "difference", (a, b) -> a - b);
+        addDoubleOperator("*", "product", (a, b) -> a * b);
+        addDoubleOperator("/", "quotient, by IEEE 754", (a, b) -> a / b);
         for (Type type : List.of(Type.INT, Type.DURATION)) {
-            add(new Function("-", Form.OPERATOR, type + ": " + type, "the negative", "1", exactly(type, type), FIXED, ONE_STEP,
-                ONE_OBJECT, a -> (Long) a[0] == Long.MIN_VALUE ? ErrorKind.OVERFLOW : (Object) (-(Long) a[0]), ANY));
+            add(new Function("-", Form.OPERATOR, type + ": " + type, "the negative", "1", exactly(type, type), FIXED_SIZE,
+                ONE_STEP, ONE_OBJECT, a -> (Long) a[0] == Long.MIN_VALUE ? ErrorKind.OVERFLOW : (Object) (-(Long) a[0]), NO_CHECK));
         }
-        add(new Function("-", Form.OPERATOR, "double: double", "the negative", "1", exactly(Type.DOUBLE, Type.DOUBLE), FIXED,
-            ONE_STEP, ONE_OBJECT, a -> -(Double) a[0], ANY));
+        add(new Function("-", Form.OPERATOR, "double: double", "the negative", "1", exactly(Type.DOUBLE, Type.DOUBLE), FIXED_SIZE,
+            ONE_STEP, ONE_OBJECT, a -> -(Double) a[0], NO_CHECK));
     }
 
-    private static void indexes() {
+    private static void addIndexes() {
         add(new Function("[]", Form.OPERATOR, "map(string, T), string: T", "the value of a key; an error if it has none",
             "1 and a 16th of the key", t -> t.get(0).kind() == Kind.MAP && t.get(1) == Type.STRING ? t.get(0).of() : null,
-            s -> s.get(0).of(), (s, result) -> Costs.chars(s.get(1).count()), NOTHING, a -> {
+            s -> s.get(0).of(), (s, result) -> Costs.charSteps(s.get(1).count()), NO_BYTES, a -> {
                 Object value = ((Map<?, ?>) a[0]).get(a[1]);
                 return value == null ? ErrorKind.NO_SUCH_KEY : value;
-            }, ANY));
+            }, NO_CHECK));
         add(new Function("[]", Form.OPERATOR, "list(T), int: T", "the element, counted from 0; an error beyond them", "1",
             t -> t.get(0).kind() == Kind.LIST && t.get(1) == Type.INT ? t.get(0).of() : null, s -> s.get(0).of(), ONE_STEP,
-            NOTHING, a -> {
+            NO_BYTES, a -> {
                 List<?> list = (List<?>) a[0];
-                long at = (Long) a[1];
-                return at < 0 || at >= list.size() ? ErrorKind.OUT_OF_RANGE : list.get((int) at);
-            }, c -> c[1] instanceof Long at && at < 0 ? "elements are counted from 0" : null));
+                long index = (Long) a[1];
+                return index < 0 || index >= list.size() ? ErrorKind.OUT_OF_RANGE : list.get((int) index);
+            }, c -> c[1] instanceof Long index && index < 0 ? "elements are counted from 0" : null));
         add(new Function("[?]", Form.OPERATOR, "map(string, T), string: optional(T)", "the value of a key, if it has one",
             "1 and a 16th of the key",
             t -> t.get(0).kind() == Kind.MAP && t.get(1) == Type.STRING ? Type.optionalOf(t.get(0).of()) : null,
-            s -> new Size(1, s.get(0).of(), 0), (s, result) -> Costs.chars(s.get(1).count()), ONE_OBJECT,
-            a -> Optional.ofNullable(((Map<?, ?>) a[0]).get(a[1])), ANY));
+            s -> new Size(1, s.get(0).of(), 0), (s, result) -> Costs.charSteps(s.get(1).count()), ONE_OBJECT,
+            a -> Optional.ofNullable(((Map<?, ?>) a[0]).get(a[1])), NO_CHECK));
         add(new Function("[?]", Form.OPERATOR, "list(T), int: optional(T)", "the element, if there is one", "1",
             t -> t.get(0).kind() == Kind.LIST && t.get(1) == Type.INT ? Type.optionalOf(t.get(0).of()) : null,
             s -> new Size(1, s.get(0).of(), 0), ONE_STEP, ONE_OBJECT, a -> {
                 List<?> list = (List<?>) a[0];
-                long at = (Long) a[1];
-                return at < 0 || at >= list.size() ? Optional.empty() : Optional.of(list.get((int) at));
-            }, ANY));
+                long index = (Long) a[1];
+                return index < 0 || index >= list.size() ? Optional.empty() : Optional.of(list.get((int) index));
+            }, NO_CHECK));
     }
 
     // ---- Strings
 
-    private interface Two {
+    /** A function of two strings. */
+    private interface StringOperation {
         Object of(String text, String other);
     }
 
-    private static void test(String name, String meaning, String cost, Pricing steps, Two body) {
+    private static void addStringTest(String name, String meaning, String cost, Pricing steps, StringOperation body) {
         add(new Function(name, Form.METHOD, "string.(string): bool", meaning, cost,
-            exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED, steps, NOTHING,
-            a -> body.of((String) a[0], (String) a[1]), ANY));
+            exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED_SIZE, steps, NO_BYTES,
+            a -> body.of((String) a[0], (String) a[1]), NO_CHECK));
     }
 
-    private static void strings() {
+    private static void addStrings() {
         for (Form form : List.of(Form.FUNCTION, Form.METHOD)) {
             add(new Function("size", form, form == Form.METHOD ? "T.(): int" : "T: int",
                 "characters of a string, bytes, elements of a list or entries of a map", "1",
                 t -> t.size() == 1 && (t.get(0) == Type.STRING || t.get(0) == Type.BYTES || t.get(0).kind() == Kind.LIST
-                    || t.get(0).kind() == Kind.MAP) ? Type.INT : null, FIXED, ONE_STEP, ONE_OBJECT,
-                a -> Values.measure(a[0]).count(), ANY));
+                    || t.get(0).kind() == Kind.MAP) ? Type.INT : null, FIXED_SIZE, ONE_STEP, ONE_OBJECT,
+                a -> Values.measure(a[0]).count(), NO_CHECK));
         }
-        test("startsWith", "whether it begins so", "1 and a 16th of the shorter", walkShorter(0), String::startsWith);
-        test("endsWith", "whether it ends so", "1 and a 16th of the shorter", walkShorter(0), String::endsWith);
-        Pricing search = (s, result) -> Costs.search(s.get(0).count(), s.get(1).count());
-        test("contains", "whether the other stands anywhere in it", "a 16th of the other at each place", search,
+        addStringTest("startsWith", "whether it begins so", "1 and a 16th of the shorter", compareShorter(0), String::startsWith);
+        addStringTest("endsWith", "whether it ends so", "1 and a 16th of the shorter", compareShorter(0), String::endsWith);
+        Pricing search = (s, result) -> Costs.searchSteps(s.get(0).count(), s.get(1).count());
+        addStringTest("contains", "whether the other stands anywhere in it", "a 16th of the other at each place", search,
             String::contains);
         add(new Function("indexOf", Form.METHOD, "string.(string): int", "where the other stands first, or -1",
-            "a 16th of the other at each place", exactly(Type.INT, Type.STRING, Type.STRING), FIXED, search, ONE_OBJECT,
-            a -> (long) ((String) a[0]).indexOf((String) a[1]), ANY));
-        patterns();
-        Pricing walk = (s, result) -> Costs.chars(s.get(0).count());
-        Sizing same = s -> s.get(0);
-        for (boolean upper : new boolean[] {false, true}) {
-            add(new Function(upper ? "upperAscii" : "lowerAscii", Form.METHOD, "string.(): string",
-                (upper ? "A to Z for a to z" : "a to z for A to Z") + ", all else as it is", "1 and a 16th",
-                exactly(Type.STRING, Type.STRING), same, walk, RESULT, a -> ascii((String) a[0], upper), ANY));
+            "a 16th of the other at each place", exactly(Type.INT, Type.STRING, Type.STRING), FIXED_SIZE, search, ONE_OBJECT,
+            a -> (long) ((String) a[0]).indexOf((String) a[1]), NO_CHECK));
+        addPatterns();
+        Pricing linear = (s, result) -> Costs.charSteps(s.get(0).count());
+        Sizing sameSize = s -> s.get(0);
+        for (boolean toUpper : new boolean[] {false, true}) {
+            add(new Function(toUpper ? "upperAscii" : "lowerAscii", Form.METHOD, "string.(): string",
+                (toUpper ? "A to Z for a to z" : "a to z for A to Z") + ", all else as it is", "1 and a 16th",
+                exactly(Type.STRING, Type.STRING), sameSize, linear, NEW_STRING,
+                a -> convertAsciiCase((String) a[0], toUpper), NO_CHECK));
         }
         add(new Function("trim", Form.METHOD, "string.(): string", "without white space at its ends", "1 and a 16th",
-            exactly(Type.STRING, Type.STRING), same, walk, RESULT, a -> ((String) a[0]).strip(), ANY));
-        parts();
+            exactly(Type.STRING, Type.STRING), sameSize, linear, NEW_STRING, a -> ((String) a[0]).strip(), NO_CHECK));
+        addSubstrings();
         add(new Function("replace", Form.METHOD, "string.(string, string): string",
             "with the third for each second, which must not be empty", "a search, and the result",
             exactly(Type.STRING, Type.STRING, Type.STRING, Type.STRING),
             s -> Size.chars(Size.times(s.get(0).count(), Math.max(1, s.get(2).count()))),
-            (s, result) -> Size.plus(Costs.search(s.get(0).count(), s.get(1).count()), Costs.chars(result.count())), RESULT,
-            a -> ((String) a[1]).isEmpty() ? ErrorKind.BAD_CONVERSION
+            (s, result) -> Size.plus(Costs.searchSteps(s.get(0).count(), s.get(1).count()), Costs.charSteps(result.count())),
+            NEW_STRING, a -> ((String) a[1]).isEmpty() ? ErrorKind.BAD_CONVERSION
                 : ((String) a[0]).replace((String) a[1], (String) a[2]),
-            c -> "".equals(c[1]) ? "what is to be replaced is empty" : null));
+            c -> "".equals(c[1]) ? "the text to replace is empty" : null));
     }
 
-    private static String ascii(String text, boolean upper) {
+    private static String convertAsciiCase(String text, boolean toUpper) {
         char[] chars = text.toCharArray();
         for (int i = 0; i < chars.length; i++) {
-            if (upper && chars[i] >= 'a' && chars[i] <= 'z' || !upper && chars[i] >= 'A' && chars[i] <= 'Z') {
-                chars[i] ^= ' ';
+            if (toUpper && chars[i] >= 'a' && chars[i] <= 'z' || !toUpper && chars[i] >= 'A' && chars[i] <= 'Z') {
+                chars[i] ^= ' '; // the two cases of an ASCII letter differ in this one bit
             }
         }
         return new String(chars);
     }
 
-    private static void patterns() {
+    private static void addPatterns() {
         Check check = c -> c[1] == null ? "the regular expression must be a constant" : c[1] instanceof String source
-            ? problem(source) : null;
-        Pricing match = (s, result) -> Costs.match(s.get(0).count(), s.get(1).count());
+            ? patternProblem(source) : null;
+        Pricing matching = (s, result) -> Costs.matchSteps(s.get(0).count(), s.get(1).count());
         add(new Function("matches", Form.METHOD, "string.(regex): bool", "whether a part of it matches; ^ and $ tie it",
-            "a 16th of the compiled program for each character", exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED, match,
-            (s, result) -> Costs.container(s.get(1).count()), a -> pattern(a[1]).matcher((String) a[0]).find(), check));
+            "a 16th of the compiled program for each character", exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED_SIZE,
+            matching, (s, result) -> Costs.containerBytes(s.get(1).count()), a -> pattern(a[1]).matcher((String) a[0]).find(), check));
         add(new Function("extract", Form.METHOD, "string.(regex): optional(string)",
             "the first group of its first match, or the match where there is no group",
             "a 16th of the compiled program for each character",
-            exactly(Type.optionalOf(Type.STRING), Type.STRING, Type.STRING), s -> new Size(1, s.get(0), 0), match,
-            (s, result) -> Size.plus(Costs.container(s.get(1).count()), Costs.string(s.get(0).count())), a -> {
+            exactly(Type.optionalOf(Type.STRING), Type.STRING, Type.STRING), s -> new Size(1, s.get(0), 0), matching,
+            (s, result) -> Size.plus(Costs.containerBytes(s.get(1).count()), Costs.stringBytes(s.get(0).count())), a -> {
                 Matcher matcher = pattern(a[1]).matcher((String) a[0]);
                 return matcher.find() ? Optional.ofNullable(matcher.groupCount() == 0 ? matcher.group() : matcher.group(1))
                     : Optional.empty();
             }, check));
     }
 
+    /** The compiled regular expression that the checker put in place of the constant. */
     private static Pattern pattern(Object compiled) {
         return (Pattern) compiled;
     }
 
-    /** Whether a function takes a regular expression, which the checker compiles at load. */
+    /** Whether a function takes a regular expression, which the checker compiles when an expression is loaded. */
     static boolean takesPattern(Function function) {
         return function.signature().contains("regex");
     }
 
-    private static String problem(String source) {
-        if (source.length() > LONGEST_PATTERN) {
-            return "a regular expression of " + source.length() + " characters, " + LONGEST_PATTERN + " at most";
+    /** What is wrong with a regular expression, or null if it is valid and within the limits. */
+    private static String patternProblem(String source) {
+        if (source.length() > MAX_PATTERN_CHARS) {
+            return "a regular expression of " + source.length() + " characters, " + MAX_PATTERN_CHARS + " at most";
         }
         try {
-            int program = Pattern.compile(source).programSize();
-            return program <= LARGEST_PROGRAM ? null
-                : "a regular expression of " + program + " instructions, " + LARGEST_PROGRAM + " at most";
+            int instructions = Pattern.compile(source).programSize();
+            return instructions <= MAX_PROGRAM_INSTRUCTIONS ? null
+                : "a regular expression of " + instructions + " instructions, " + MAX_PROGRAM_INSTRUCTIONS + " at most";
         } catch (PatternSyntaxException e) {
             return "no regular expression: " + e.getMessage();
         }
     }
 
-    private static void parts() {
-        Check from = c -> c[1] instanceof Long at && at < 0 ? "characters are counted from 0" : null;
-        Body cut = a -> {
+    private static void addSubstrings() {
+        Check nonNegativeStart = c -> c[1] instanceof Long start && start < 0 ? "characters are counted from 0" : null;
+        Body substring = a -> {
             String text = (String) a[0];
             long start = (Long) a[1];
             long end = a.length > 2 ? (Long) a[2] : text.length();
             return start < 0 || end > text.length() || start > end ? ErrorKind.OUT_OF_RANGE
                 : text.substring((int) start, (int) end);
         };
-        Pricing walk = (s, result) -> Costs.chars(s.get(0).count());
+        Pricing linear = (s, result) -> Costs.charSteps(s.get(0).count());
         add(new Function("substring", Form.METHOD, "string.(int): string", "from that character on, counted from 0",
-            "1 and a 16th", exactly(Type.STRING, Type.STRING, Type.INT), s -> s.get(0), walk, RESULT, cut, from));
+            "1 and a 16th", exactly(Type.STRING, Type.STRING, Type.INT), s -> s.get(0), linear, NEW_STRING,
+            substring, nonNegativeStart));
         add(new Function("substring", Form.METHOD, "string.(int, int): string", "from the first to before the second",
-            "1 and a 16th", exactly(Type.STRING, Type.STRING, Type.INT, Type.INT), s -> s.get(0), walk, RESULT, cut, from));
+            "1 and a 16th", exactly(Type.STRING, Type.STRING, Type.INT, Type.INT), s -> s.get(0), linear, NEW_STRING,
+            substring, nonNegativeStart));
         add(new Function("split", Form.METHOD, "string.(string): list(string)",
             "the parts between each second, which must not be empty", "a search, and a step a part",
             exactly(Type.listOf(Type.STRING), Type.STRING, Type.STRING),
             s -> Size.list(Size.plus(1, s.get(0).count()), s.get(0)),
-            (s, result) -> Size.plus(Costs.search(s.get(0).count(), s.get(1).count()), result.count()),
-            (s, result) -> Size.plus(Size.plus(Costs.container(result.count()), Costs.string(s.get(0).count())),
-                Size.times(result.count(), Costs.string(0))), a -> {
+            (s, result) -> Size.plus(Costs.searchSteps(s.get(0).count(), s.get(1).count()), result.count()),
+            (s, result) -> Size.plus(Size.plus(Costs.containerBytes(result.count()), Costs.stringBytes(s.get(0).count())),
+                Size.times(result.count(), Costs.stringBytes(0))), a -> {
                 String text = (String) a[0];
-                String by = (String) a[1];
-                return by.isEmpty() ? ErrorKind.BAD_CONVERSION : split(text, by);
-            }, c -> "".equals(c[1]) ? "what it is to be split by is empty" : null));
+                String separator = (String) a[1];
+                return separator.isEmpty() ? ErrorKind.BAD_CONVERSION : split(text, separator);
+            }, c -> "".equals(c[1]) ? "the separator is empty" : null));
         add(new Function("join", Form.METHOD, "list(string).(string): string", "its elements with the second between them",
             "1, a step an element and a 16th of the result",
             exactly(Type.STRING, Type.listOf(Type.STRING), Type.STRING),
             s -> Size.chars(Size.times(s.get(0).count(), Size.plus(s.get(0).of().count(), s.get(1).count()))),
-            (s, result) -> Size.plus(s.get(0).count(), Costs.chars(result.count())),
-            (s, result) -> Size.times(2, Costs.string(result.count())),
-            a -> String.join((String) a[1], strings((List<?>) a[0])), ANY));
+            (s, result) -> Size.plus(s.get(0).count(), Costs.charSteps(result.count())),
+            (s, result) -> Size.times(2, Costs.stringBytes(result.count())),
+            a -> String.join((String) a[1], strings((List<?>) a[0])), NO_CHECK));
     }
 
-    private static List<String> split(String text, String by) {
+    private static List<String> split(String text, String separator) {
         List<String> parts = new ArrayList<>();
         int start = 0;
-        for (int end = text.indexOf(by); end >= 0; end = text.indexOf(by, start)) {
+        for (int end = text.indexOf(separator); end >= 0; end = text.indexOf(separator, start)) {
             parts.add(text.substring(start, end));
-            start = end + by.length();
+            start = end + separator.length();
         }
         parts.add(text.substring(start));
         return parts;
@@ -381,97 +402,102 @@
 
     // ---- Conversions
 
-    private static void convert(String name, Type from, Type to, String meaning, Sizing sizing, Body body) {
+    private static void addConversion(String name, Type from, Type to, String meaning, Sizing sizing, Body body) {
         add(new Function(name, Form.FUNCTION, from + ": " + to, meaning, "1 and a 16th of both", exactly(to, from), sizing,
-            (s, result) -> Size.plus(Costs.chars(s.get(0).count()), Costs.chars(result.count())),
-            (s, result) -> Size.plus(Costs.string(s.get(0).count()), Costs.string(result.count())), body, ANY));
+            (s, result) -> Size.plus(Costs.charSteps(s.get(0).count()), Costs.charSteps(result.count())),
+            (s, result) -> Size.plus(Costs.stringBytes(s.get(0).count()), Costs.stringBytes(result.count())), body, NO_CHECK));
     }
 
-    private static void conversions() {
-        Sizing written = s -> Size.chars(WRITTEN);
-        convert("int", Type.STRING, Type.INT, "a decimal number, with or without a sign", FIXED, a -> Texts.toInt((String) a[0]));
-        convert("int", Type.DOUBLE, Type.INT, "without its fraction", FIXED, a -> {
+    private static void addConversions() {
+        Sizing formatted = s -> Size.chars(MAX_FORMATTED_CHARS);
+        addConversion("int", Type.STRING, Type.INT, "a decimal number, with or without a sign", FIXED_SIZE,
+            a -> Conversions.toInt((String) a[0]));
+        addConversion("int", Type.DOUBLE, Type.INT, "without its fraction", FIXED_SIZE, a -> {
             double value = (Double) a[0];
             return Double.isNaN(value) ? ErrorKind.BAD_CONVERSION
                 : value >= -0x1p63 && value < 0x1p63 ? (Object) (long) value : ErrorKind.OVERFLOW;
         });
-        convert("double", Type.INT, Type.DOUBLE, "the nearest", FIXED, a -> ((Long) a[0]).doubleValue());
-        convert("double", Type.STRING, Type.DOUBLE, "a decimal number, with or without an exponent", FIXED,
-            a -> Texts.toDouble((String) a[0]));
-        convert("string", Type.INT, Type.STRING, "in decimal digits", written, a -> a[0].toString());
-        convert("string", Type.DOUBLE, Type.STRING, "as Java writes it", written, a -> a[0].toString());
-        convert("string", Type.BOOL, Type.STRING, "true or false", written, a -> a[0].toString());
-        convert("string", Type.DURATION, Type.STRING, "in seconds, as 1.5s", written, a -> Texts.duration((Long) a[0]));
-        convert("string", Type.TIMESTAMP, Type.STRING, "as RFC 3339 has it, in UTC", written,
-            a -> Texts.timestamp((Long) a[0]));
-        convert("string", Type.BYTES, Type.STRING, "from UTF-8; an error if it is none", s -> s.get(0),
-            a -> Texts.decode((Bytes) a[0]));
-        convert("bytes", Type.STRING, Type.BYTES, "in UTF-8; an error where it holds half a character",
-            s -> Size.chars(Size.times(3, s.get(0).count())), a -> Texts.encode((String) a[0]));
-    }
-
-    private static void times() {
-        convert("duration", Type.STRING, Type.DURATION, "as 1h30m, 250ms, -1.5s; units h, m, s, ms, us, ns", FIXED,
-            a -> Texts.toDuration((String) a[0]));
-        convert("timestamp", Type.STRING, Type.TIMESTAMP, "as RFC 3339 has it, from 1678 to 2262", FIXED,
-            a -> Texts.toTimestamp((String) a[0]));
-        field("getFullYear", Type.TIMESTAMP, "the year, in UTC", Texts::year);
-        field("getDayOfWeek", Type.TIMESTAMP, "0 for Sunday to 6, in UTC",
-            at -> Math.floorMod(Math.floorDiv(at, Texts.DAY) + 4, 7L));
-        field("getHours", Type.TIMESTAMP, "0 to 23, in UTC", at -> Math.floorMod(at, Texts.DAY) / Texts.HOUR);
-        field("getMinutes", Type.TIMESTAMP, "0 to 59, in UTC", at -> Math.floorMod(at, Texts.HOUR) / Texts.MINUTE);
-        field("getSeconds", Type.DURATION, "whole seconds", span -> span / Texts.SECOND);
-        field("getMilliseconds", Type.DURATION, "whole milliseconds", span -> span / Texts.MILLISECOND);
-    }
-
-    private interface Field {
+        addConversion("double", Type.INT, Type.DOUBLE, "the nearest", FIXED_SIZE, a -> ((Long) a[0]).doubleValue());
+        addConversion("double", Type.STRING, Type.DOUBLE, "a decimal number, with or without an exponent", FIXED_SIZE,
+            a -> Conversions.toDouble((String) a[0]));
+        addConversion("string", Type.INT, Type.STRING, "in decimal digits", formatted, a -> a[0].toString());
+        addConversion("string", Type.DOUBLE, Type.STRING, "as Java writes it", formatted, a -> a[0].toString());
+        addConversion("string", Type.BOOL, Type.STRING, "true or false", formatted, a -> a[0].toString());
+        addConversion("string", Type.DURATION, Type.STRING, "in seconds, as 1.5s", formatted,
+            a -> Conversions.duration((Long) a[0]));
+        addConversion("string", Type.TIMESTAMP, Type.STRING, "as RFC 3339 has it, in UTC", formatted,
+            a -> Conversions.timestamp((Long) a[0]));
+        addConversion("string", Type.BYTES, Type.STRING, "from UTF-8; an error if it is none", s -> s.get(0),
+            a -> Conversions.decode((Bytes) a[0]));
+        addConversion("bytes", Type.STRING, Type.BYTES, "in UTF-8; an error where it holds half a character",
+            s -> Size.chars(Size.times(3, s.get(0).count())), a -> Conversions.encode((String) a[0]));
+    }
+
+    private static void addTimes() {
+        addConversion("duration", Type.STRING, Type.DURATION, "as 1h30m, 250ms, -1.5s; units h, m, s, ms, us, ns", FIXED_SIZE,
+            a -> Conversions.toDuration((String) a[0]));
+        addConversion("timestamp", Type.STRING, Type.TIMESTAMP, "as RFC 3339 has it, from 1678 to 2262", FIXED_SIZE,
+            a -> Conversions.toTimestamp((String) a[0]));
+        addTimeField("getFullYear", Type.TIMESTAMP, "the year, in UTC", Conversions::year);
+        addTimeField("getDayOfWeek", Type.TIMESTAMP, "0 for Sunday to 6, in UTC",
+            timestamp -> Math.floorMod(Math.floorDiv(timestamp, Conversions.DAY) + 4, 7L));
+        addTimeField("getHours", Type.TIMESTAMP, "0 to 23, in UTC",
+            timestamp -> Math.floorMod(timestamp, Conversions.DAY) / Conversions.HOUR);
+        addTimeField("getMinutes", Type.TIMESTAMP, "0 to 59, in UTC",
+            timestamp -> Math.floorMod(timestamp, Conversions.HOUR) / Conversions.MINUTE);
+        addTimeField("getSeconds", Type.DURATION, "whole seconds", duration -> duration / Conversions.SECOND);
+        addTimeField("getMilliseconds", Type.DURATION, "whole milliseconds", duration -> duration / Conversions.MILLISECOND);
+    }
+
+    /** Extracts a component from a duration or timestamp in nanoseconds. */
+    private interface TimeField {
         long of(long value);
     }
 
-    private static void field(String name, Type of, String meaning, Field field) {
-        add(new Function(name, Form.METHOD, of + ".(): int", meaning, "1", exactly(Type.INT, of), FIXED, ONE_STEP, ONE_OBJECT,
-            a -> field.of((Long) a[0]), ANY));
+    private static void addTimeField(String name, Type type, String meaning, TimeField field) {
+        add(new Function(name, Form.METHOD, type + ".(): int", meaning, "1", exactly(Type.INT, type), FIXED_SIZE, ONE_STEP,
+            ONE_OBJECT, a -> field.of((Long) a[0]), NO_CHECK));
     }
 
     // ---- Keys, addresses, optionals
 
-    private static void keys() {
+    private static void addKeysAndRanges() {
         for (Type type : List.of(Type.STRING, Type.BYTES, Type.INT)) {
             add(new Function("hash", Form.FUNCTION, type + ": int", "XXH3 of 64 bits; the same in every version",
-                "1 and a 16th", exactly(Type.INT, type), FIXED, (s, result) -> Costs.chars(s.get(0).count()),
-                (s, result) -> 4 * Size.OBJECT, a -> Texts.hash(a[0]), ANY));
+                "1 and a 16th", exactly(Type.INT, type), FIXED_SIZE, (s, result) -> Costs.charSteps(s.get(0).count()),
+                (s, result) -> 4 * Size.OBJECT, a -> Conversions.hash(a[0]), NO_CHECK));
             add(new Function("bucket", Form.FUNCTION, type + ", int: int",
                 "the hash, taken as unsigned, modulo the second: 0 to one less; an error if that is under 1", "1 and a 16th",
-                exactly(Type.INT, type, Type.INT), FIXED, (s, result) -> Costs.chars(s.get(0).count()),
+                exactly(Type.INT, type, Type.INT), FIXED_SIZE, (s, result) -> Costs.charSteps(s.get(0).count()),
                 (s, result) -> 4 * Size.OBJECT, a -> (Long) a[1] < 1 ? ErrorKind.OUT_OF_RANGE
-                    : (Object) Long.remainderUnsigned(Texts.hash(a[0]), (Long) a[1]),
+                    : (Object) Long.remainderUnsigned(Conversions.hash(a[0]), (Long) a[1]),
                 c -> c[1] instanceof Long count && count < 1 ? "a count of buckets under 1" : null));
         }
-        Check range = c -> c[1] == null ? "the address range must be a constant"
-            : c[1] instanceof String text && Texts.range(text) == null ? "no address range: '" + text + "'" : null;
+        Check rangeCheck = c -> c[1] == null ? "the address range must be a constant"
+            : c[1] instanceof String text && Conversions.parseRange(text) == null ? "no address range: '" + text + "'" : null;
         add(new Function("inCidr", Form.METHOD, "string.(range): bool",
             "whether an IPv4 or IPv6 address lies in a range such as 10.0.0.0/8; an error if it is no address", "10",
-            exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED, (s, result) -> 10,
-            (s, result) -> 100 * Size.OBJECT, a -> Texts.inRange((String) a[0], a[1]), range));
-        for (boolean least : new boolean[] {true, false}) {
-            add(new Function(least ? "min" : "max", Form.FUNCTION, "T, T: T, T int, duration or timestamp",
-                least ? "the smaller" : "the larger", "1",
-                t -> t.size() == 2 && t.get(0).equals(t.get(1)) && t.get(0).isLong() ? t.get(0) : null, FIXED, ONE_STEP,
+            exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED_SIZE, (s, result) -> 10,
+            (s, result) -> 100 * Size.OBJECT, a -> Conversions.inRange((String) a[0], a[1]), rangeCheck));
+        for (boolean isMin : new boolean[] {true, false}) {
+            add(new Function(isMin ? "min" : "max", Form.FUNCTION, "T, T: T, T int, duration or timestamp",
+                isMin ? "the smaller" : "the larger", "1",
+                t -> t.size() == 2 && t.get(0).equals(t.get(1)) && t.get(0).isLong() ? t.get(0) : null, FIXED_SIZE, ONE_STEP,
                 ONE_OBJECT,
-                a -> least ? Math.min((Long) a[0], (Long) a[1]) : Math.max((Long) a[0], (Long) a[1]), ANY));
+                a -> isMin ? Math.min((Long) a[0], (Long) a[1]) : Math.max((Long) a[0], (Long) a[1]), NO_CHECK));
         }
     }
 
-    private static void optionals() {
+    private static void addOptionals() {
         add(new Function("hasValue", Form.METHOD, "optional(T).(): bool", "whether there is a value", "1",
-            t -> t.size() == 1 && t.get(0).kind() == Kind.OPTIONAL ? Type.BOOL : null, FIXED, ONE_STEP, NOTHING,
-            a -> ((Optional<?>) a[0]).isPresent(), ANY));
+            t -> t.size() == 1 && t.get(0).kind() == Kind.OPTIONAL ? Type.BOOL : null, FIXED_SIZE, ONE_STEP, NO_BYTES,
+            a -> ((Optional<?>) a[0]).isPresent(), NO_CHECK));
         add(new Function("value", Form.METHOD, "optional(T).(): T", "the value; an error if there is none", "1",
             t -> t.size() == 1 && t.get(0).kind() == Kind.OPTIONAL ? t.get(0).of() : null, s -> s.get(0).of(), ONE_STEP,
-            NOTHING, a -> ((Optional<?>) a[0]).isPresent() ? ((Optional<?>) a[0]).get() : ErrorKind.ABSENT, ANY));
+            NO_BYTES, a -> ((Optional<?>) a[0]).isPresent() ? ((Optional<?>) a[0]).get() : ErrorKind.ABSENT, NO_CHECK));
         add(new Function("orValue", Form.METHOD, "optional(T).(T): T", "the value, or the second if there is none", "1",
             t -> t.size() == 2 && t.get(0).kind() == Kind.OPTIONAL && t.get(1).equals(t.get(0).of()) ? t.get(1) : null,
-            s -> s.get(0).of().or(s.get(1)), ONE_STEP, NOTHING,
-            a -> ((Optional<?>) a[0]).isPresent() ? ((Optional<?>) a[0]).get() : a[1], ANY));
+            s -> s.get(0).of().or(s.get(1)), ONE_STEP, NO_BYTES,
+            a -> ((Optional<?>) a[0]).isPresent() ? ((Optional<?>) a[0]).get() : a[1], NO_CHECK));
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Interpreter.java
+++ b/expression/src/main/java/ledgewall/expression/Interpreter.java
@@ -8,15 +8,18 @@
 import java.util.Map;
 
 /**
- * Walks the tree, each value an object, and counts what it takes. It is what the compiled form is tested against, and it
- * computes constants at load; requests go by the compiled form.
+ * Evaluates an expression by walking its tree, with every value as an object, and counts the actual cost. The tests compare
+ * the compiled code with it, and the checker folds constants with it when an expression is loaded; requests are evaluated by
+ * the compiled code only.
  */
 final class Interpreter {
-    private static final Size NOTHING = Size.chars(0);
+    /** The size of an error, for the cost of a call that failed. */
+    private static final Size ERROR_SIZE = Size.chars(0);
 
     private final Frame frame;
     private final Object[] variables;
     private final Map<Integer, Object> shared = new HashMap<>();
+    /** The cost so far: steps, and bytes allocated. */
     private long steps;
     private long bytes;
 
@@ -25,18 +28,18 @@
         this.variables = variables;
     }
 
-    /** What has been taken so far. */
-    Cost taken() {
+    /** The cost of the evaluation so far. */
+    Cost cost() {
         return new Cost(steps, bytes);
     }
 
-    private void take(Cost cost) {
+    private void charge(Cost cost) {
         steps += cost.steps();
         bytes += cost.bytes();
     }
 
-    /** The value, or an {@link ErrorKind}. */
-    Object value(Node node) {
+    /** Evaluates a node to its value, or to an {@link ErrorKind}. */
+    Object evaluate(Node node) {
         if (node instanceof Node.Call call) {
             return call(call);
         }
@@ -58,26 +61,26 @@
             return constant.value();
         }
         if (node instanceof Node.Attribute attribute) {
-            return frame.value(attribute.index());
+            return frame.evaluate(attribute.index());
         }
         if (node instanceof Node.Variable variable) {
             return variables[variable.slot()];
         }
-        if (node instanceof Node.Shared other) {
-            if (!shared.containsKey(other.slot())) {
-                shared.put(other.slot(), value(other.body()));
+        if (node instanceof Node.Shared sharedNode) {
+            if (!shared.containsKey(sharedNode.slot())) {
+                shared.put(sharedNode.slot(), evaluate(sharedNode.body()));
             }
-            return shared.get(other.slot());
+            return shared.get(sharedNode.slot());
         }
         Node.Choice choice = (Node.Choice) node;
-        Object condition = value(choice.condition());
+        Object condition = evaluate(choice.condition());
         return Values.isError(condition) ? condition : value((Boolean) condition ? choice.yes() : choice.no());
     }
 
     private Object call(Node.Call call) {
         Object[] arguments = new Object[call.arguments().size()];
         for (int i = 0; i < arguments.length; i++) {
-            arguments[i] = value(call.arguments().get(i));
+            arguments[i] = evaluate(call.arguments().get(i));
             if (Values.isError(arguments[i])) {
                 steps++;
                 return arguments[i];
@@ -85,7 +88,7 @@
         }
         Object result = call.function().body().of(arguments);
         List<Size> sizes = Arrays.stream(arguments).map(Values::measure).toList();
-        take(Cost.own(call.function(), sizes, Values.isError(result) ? NOTHING : Values.measure(result)));
+        charge(Cost.own(call.function(), sizes, Values.isError(result) ? ERROR_SIZE : Values.measure(result)));
         return result;
     }
 
@@ -93,7 +96,7 @@
         steps++;
         Object error = null;
         for (Node part : logic.parts()) {
-            Object value = value(part);
+            Object value = evaluate(part);
             if (Values.isError(value)) {
                 error = error == null ? value : error;
             } else if ((Boolean) value != logic.all()) {
@@ -106,13 +109,13 @@
     private Object list(List<Node> elements) {
         List<Object> values = new ArrayList<>();
         for (Node element : elements) {
-            Object value = value(element);
+            Object value = evaluate(element);
             if (Values.isError(value)) {
                 return value;
             }
             values.add(value);
         }
-        take(Cost.container(values.size()));
+        charge(Cost.container(values.size()));
         return values;
     }
 
@@ -125,43 +128,43 @@
     }
 
     private Object loop(Node.Loop loop) {
-        Object range = value(loop.range());
+        Object range = evaluate(loop.range());
         if (Values.isError(range)) {
             steps++;
             return range;
         }
         List<?> list = (List<?>) range;
-        take(Cost.loop(loop.macro(), list.size()));
+        charge(Cost.loop(loop.macro(), list.size()));
         return switch (loop.macro()) {
-            case ALL, EXISTS -> decide(loop, list, loop.macro() == Node.Macro.ALL);
-            case EXISTS_ONE -> count(loop, list);
-            case FILTER, MAP -> collect(loop, list);
+            case ALL, EXISTS -> allOrExists(loop, list, loop.macro() == Node.Macro.ALL);
+            case EXISTS_ONE -> existsOne(loop, list);
+            case FILTER, MAP -> filterOrMap(loop, list);
         };
     }
 
-    private Object body(Node.Loop loop, Object element) {
+    private Object evaluateBody(Node.Loop loop, Object element) {
         steps++;
         variables[loop.slot()] = element;
-        return value(loop.body());
+        return evaluate(loop.body());
     }
 
-    private Object decide(Node.Loop loop, List<?> list, boolean all) {
+    private Object allOrExists(Node.Loop loop, List<?> list, boolean isAll) {
         Object error = null;
         for (Object element : list) {
-            Object value = body(loop, element);
+            Object value = evaluateBody(loop, element);
             if (Values.isError(value)) {
                 error = error == null ? value : error;
-            } else if ((Boolean) value != all) {
+            } else if ((Boolean) value != isAll) {
                 return value;
             }
         }
-        return error != null ? error : (Object) all;
+        return error != null ? error : (Object) isAll;
     }
 
-    private Object count(Node.Loop loop, List<?> list) {
+    private Object existsOne(Node.Loop loop, List<?> list) {
         int count = 0;
         for (Object element : list) {
-            Object value = body(loop, element);
+            Object value = evaluateBody(loop, element);
             if (Values.isError(value)) {
                 return value;
             }
@@ -170,17 +173,17 @@
         return count == 1;
     }
 
-    private Object collect(Node.Loop loop, List<?> list) {
-        List<Object> all = new ArrayList<>();
+    private Object filterOrMap(Node.Loop loop, List<?> list) {
+        List<Object> results = new ArrayList<>();
         for (Object element : list) {
-            Object value = body(loop, element);
+            Object value = evaluateBody(loop, element);
             if (Values.isError(value)) {
                 return value;
             }
             if (loop.macro() == Node.Macro.MAP || (Boolean) value) {
-                all.add(loop.macro() == Node.Macro.MAP ? value : element);
+                results.add(loop.macro() == Node.Macro.MAP ? value : element);
             }
         }
-        return all;
+        return results;
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Loops.java
+++ b/expression/src/main/java/ledgewall/expression/Loops.java
@@ -3,25 +3,31 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The compiled forms of comprehensions. */
+/**
+ * Compiles comprehensions (the macros all, exists, exists_one, filter and map). Each evaluates its body once per list
+ * element, with the element in the variable slot of the frame.
+ */
 final class Loops {
     private Loops() {
     }
 
     static Code compile(Node.Macro macro, int slot, Code range, Code body) {
         return switch (macro) {
-            case ALL -> decide(1, slot, range, body);
-            case EXISTS -> decide(0, slot, range, body);
-            case EXISTS_ONE -> one(slot, range, body);
+            case ALL -> allOrExists(1, slot, range, body);
+            case EXISTS -> allOrExists(0, slot, range, body);
+            case EXISTS_ONE -> existsOne(slot, range, body);
             case FILTER -> filter(slot, range, body);
             case MAP -> map(slot, range, body);
         };
     }
 
-    /** All, which is 1 unless an element says 0; or any, which is 0 unless one says 1. */
-    private static Code decide(int usual, int slot, Code range, Code body) {
-        return Compiler.test(frame -> {
-            List<?> list = (List<?>) range.ref(frame);
+    /**
+     * The macro all, with the default result 1, or exists, with the default result 0. The opposite value for any element
+     * decides the result at once; otherwise the first error, if there was one, is the result.
+     */
+    private static Code allOrExists(int defaultResult, int slot, Code range, Code body) {
+        return Compiler.boolCode(frame -> {
+            List<?> list = (List<?>) range.object(frame);
             if (list == null) {
                 return Code.ERROR;
             }
@@ -29,7 +35,7 @@
             for (int i = 0; i < list.size(); i++) {
                 frame.variable(slot, list.get(i));
                 int value = body.bool(frame);
-                if (value == 1 - usual) {
+                if (value == 1 - defaultResult) {
                     return value;
                 }
                 if (value == Code.ERROR) {
@@ -38,13 +44,13 @@
                 }
             }
             frame.error(error);
-            return error == null ? usual : Code.ERROR;
+            return error == null ? defaultResult : Code.ERROR;
         });
     }
 
-    private static Code one(int slot, Code range, Code body) {
-        return Compiler.test(frame -> {
-            List<?> list = (List<?>) range.ref(frame);
+    private static Code existsOne(int slot, Code range, Code body) {
+        return Compiler.boolCode(frame -> {
+            List<?> list = (List<?>) range.object(frame);
             if (list == null) {
                 return Code.ERROR;
             }
@@ -62,12 +68,12 @@
     }
 
     private static Code filter(int slot, Code range, Code body) {
-        return Compiler.ref(frame -> {
-            List<?> list = (List<?>) range.ref(frame);
+        return Compiler.objectCode(frame -> {
+            List<?> list = (List<?>) range.object(frame);
             if (list == null) {
                 return null;
             }
-            List<Object> kept = new ArrayList<>();
+            List<Object> matching = new ArrayList<>();
             for (Object element : list) {
                 frame.variable(slot, element);
                 int value = body.bool(frame);
@@ -75,29 +81,29 @@
                     return null;
                 }
                 if (value == 1) {
-                    kept.add(element);
+                    matching.add(element);
                 }
             }
-            return kept;
+            return matching;
         });
     }
 
     private static Code map(int slot, Code range, Code body) {
-        return Compiler.ref(frame -> {
-            List<?> list = (List<?>) range.ref(frame);
+        return Compiler.objectCode(frame -> {
+            List<?> list = (List<?>) range.object(frame);
             if (list == null) {
                 return null;
             }
-            List<Object> all = new ArrayList<>(list.size());
+            List<Object> results = new ArrayList<>(list.size());
             for (Object element : list) {
                 frame.variable(slot, element);
-                Object value = body.ref(frame);
+                Object value = body.object(frame);
                 if (value == null) {
                     return null;
                 }
-                all.add(value);
+                results.add(value);
             }
-            return all;
+            return results;
         });
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Operand.java
+++ b/expression/src/main/java/ledgewall/expression/Operand.java
@@ -3,25 +3,28 @@
 import java.util.Map;
 
 /**
- * What a compiled part works on. Most are an attribute, an entry of one or a constant: those are read here, without a call
- * that the machine could not see through.
+ * An operand of specialized code. Most operands are an attribute, an entry of a map attribute or a constant; these are read
+ * here directly, without a virtual call that the JIT compiler could not inline.
  */
 final class Operand {
-    private final int attribute;
-    private final String key;
+    /** Index of the attribute to read, or -1 for a constant or other code. */
+    private final int attributeIndex;
+    /** Key of the entry to read, or null if the operand is the attribute itself. */
+    private final String mapKey;
     private final Object constant;
+    /** Code of any other operand, or null for a constant or an attribute. */
     private final Code code;
 
-    private Operand(int attribute, String key, Object constant, Code code) {
-        this.attribute = attribute;
-        this.key = key;
+    private Operand(int attributeIndex, String mapKey, Object constant, Code code) {
+        this.attributeIndex = attributeIndex;
+        this.mapKey = mapKey;
         this.constant = constant;
         this.code = code;
     }
 
     static Operand of(Node node, Compiler compiler) {
-        if (node instanceof Node.Constant held) {
-            return new Operand(-1, null, held.value(), null);
+        if (node instanceof Node.Constant constant) {
+            return new Operand(-1, null, constant.value(), null);
         }
         if (node instanceof Node.Attribute attribute) {
             return new Operand(attribute.index(), null, null, null);
@@ -34,20 +37,20 @@
         return new Operand(-1, null, null, compiler.compile(node));
     }
 
-    /** Its value; null for an error, which stands in the frame. */
-    Object ref(Frame frame) {
-        if (attribute < 0) {
-            return code == null ? constant : code.ref(frame);
+    /** The value, or null if the evaluation failed; the error is then in the frame. */
+    Object object(Frame frame) {
+        if (attributeIndex < 0) {
+            return code == null ? constant : code.object(frame);
         }
-        Object value = frame.value(attribute);
+        Object value = frame.value(attributeIndex);
         if (value instanceof ErrorKind error) {
             frame.error(error);
             return null;
         }
-        if (key == null) {
+        if (mapKey == null) {
             return value;
         }
-        Object entry = ((Map<?, ?>) value).get(key);
+        Object entry = ((Map<?, ?>) value).get(mapKey);
         if (entry == null) {
             frame.error(ErrorKind.NO_SUCH_KEY);
         }
--- a/expression/src/main/java/ledgewall/expression/Program.java
+++ b/expression/src/main/java/ledgewall/expression/Program.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** An expression that was accepted: compiled once, evaluated for each request, never beyond its cost. */
+/** An accepted expression: compiled once and evaluated for each request, at no more than its cost bound. */
 public final class Program {
     private final String source;
     private final Node node;
@@ -13,7 +13,7 @@
     private final int sharedSlots;
     private final int variableSlots;
     private final boolean needsSlots;
-    /** Whose slots these are: those of another's expressions mean something else. */
+    /** The {@link Expressions} that assigned the slots: slots of different ones are unrelated. */
     private final Object owner;
 
     Program(String source, Node node, Cost cost, Code code, int sharedSlots, int variableSlots, Object owner) {
@@ -35,12 +35,12 @@
         return node.type();
     }
 
-    /** How large its value can be. */
+    /** The largest size that the value can have. */
     public Size size() {
         return node.size();
     }
 
-    /** What one evaluation takes at most. */
+    /** The upper bound on the cost of one evaluation. */
     public Cost cost() {
         return cost;
     }
@@ -49,45 +49,46 @@
         return node;
     }
 
-    /** What a condition requires of single attributes; a request that does not meet each cannot match. */
+    /** The requirements of a condition on single attributes; a request that fails one of them cannot match. */
     public List<Requirement> requirements() {
         return Requirement.of(node);
     }
 
     /**
-     * Whether this condition holds wherever the other does. Only what is plain is seen: parts that say the same, and
-     * requirements of one attribute that follow from the other's; so a true answer is one, and a false one may be not.
+     * Whether this condition is known to hold whenever the other does. Only simple implications are recognized: a part that
+     * both have, and a requirement on one attribute that follows from a requirement of the other. So a result of true is
+     * certain, while false may only mean that the implication was not recognized.
      */
     public boolean covers(Program other) {
-        Set<String> said = new HashSet<>();
-        Requirement.conjuncts(other.node).forEach(part -> said.add(Canonical.of(part)));
-        List<Requirement> required = other.requirements();
+        Set<String> otherParts = new HashSet<>();
+        Requirement.conjuncts(other.node).forEach(part -> otherParts.add(Canonical.of(part)));
+        List<Requirement> otherRequirements = other.requirements();
         for (Node part : Requirement.conjuncts(node)) {
-            List<Requirement> plain = Requirement.of(part);
-            boolean follows = said.contains(Canonical.of(part)) || isTrue(part)
-                || plain.size() == 1 && required.stream().anyMatch(r -> r.implies(plain.get(0)));
-            if (!follows) {
+            List<Requirement> partRequirements = Requirement.of(part);
+            boolean implied = otherParts.contains(Canonical.of(part)) || isConstantTrue(part)
+                || partRequirements.size() == 1 && otherRequirements.stream().anyMatch(r -> r.implies(partRequirements.get(0)));
+            if (!implied) {
                 return false;
             }
         }
         return true;
     }
 
-    private static boolean isTrue(Node part) {
+    private static boolean isConstantTrue(Node part) {
         return part instanceof Node.Constant constant && Boolean.TRUE.equals(constant.value());
     }
 
-    /** Whether a condition is true whatever the request. */
+    /** Whether a condition is a constant that is true for every request. */
     public boolean isAlwaysTrue() {
-        return isTrue(node);
+        return isConstantTrue(node);
     }
 
-    /** The value of one that depends on no request, or null. */
+    /** The value if the expression is a constant, or null. */
     public Object constant() {
         return node instanceof Node.Constant constant ? constant.value() : null;
     }
 
-    /** The value for a request, or an {@link ErrorKind}. */
+    /** Evaluates the expression for a request to its value, or to an {@link ErrorKind}. */
     public Object evaluate(Frame frame) {
         frame.reserve(owner, sharedSlots, variableSlots);
         frame.error(null);
@@ -95,7 +96,7 @@
         return value == null ? frame.error() : value;
     }
 
-    /** Whether a condition holds for a request: true, false, or null where it is the error that the frame tells. */
+    /** Whether a condition holds for a request. False if the evaluation fails too: {@link #error} tells the two apart. */
     public boolean matches(Frame frame) {
         if (needsSlots) {
             frame.reserve(owner, sharedSlots, variableSlots);
@@ -104,19 +105,19 @@
         return code.bool(frame) == 1;
     }
 
-    /** The error that the last {@link #matches} came to, or null. */
+    /** The error of the last call of {@link #matches}, or null. */
     public ErrorKind error(Frame frame) {
         return frame.error();
     }
 
-    /** What an evaluation by the interpreter gave, and what it took. */
-    public record Counted(Object value, Cost cost) { }
+    /** The result of an evaluation by the interpreter: the value, or an {@link ErrorKind}, and the actual cost. */
+    public record Evaluation(Object value, Cost cost) { }
 
-    /** Evaluates by walking the tree, and counts: for tests and for whoever asks what an expression took. */
-    public Counted count(Frame frame) {
+    /** Evaluates with the interpreter and counts the actual cost; meant for tests and diagnostics. */
+    public Evaluation evaluateAndCount(Frame frame) {
         frame.reserve(owner, sharedSlots, variableSlots);
         Interpreter interpreter = new Interpreter(frame, new Object[variableSlots]);
         Object value = interpreter.value(node);
-        return new Counted(value, interpreter.taken());
+        return new Evaluation(value, interpreter.cost());
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Values.java
+++ b/expression/src/main/java/ledgewall/expression/Values.java
@@ -7,8 +7,9 @@
 import java.util.Optional;
 
 /**
- * What values are in Java: Boolean, Long for integers, durations and timestamps, Double, String, {@link Bytes}, List, Map
- * from String, Optional; and {@link ErrorKind} where there is none.
+ * Operations on the values of expressions. Their Java types are Boolean, Long (for integers, durations and timestamps),
+ * Double, String, {@link Bytes}, List, Map with String keys, and Optional; an error is represented by its
+ * {@link ErrorKind}.
  */
 final class Values {
     private Values() {
@@ -18,7 +19,7 @@
         return value instanceof ErrorKind;
     }
 
-    /** Equality as expressions have it: doubles by IEEE 754, so that NaN equals nothing. */
+    /** The equality of the expression language: doubles are compared by IEEE 754, so NaN equals nothing, not even itself. */
     static boolean equal(Object a, Object b) {
         if (a instanceof Double x && b instanceof Double y) {
             return x.doubleValue() == y.doubleValue();
@@ -40,22 +41,22 @@
         if (a.size() != b.size()) {
             return false;
         }
-        Iterator<?> others = b.iterator();
+        Iterator<?> otherElements = b.iterator();
         for (Object element : a) {
-            if (!equal(element, others.next())) {
+            if (!equal(element, otherElements.next())) {
                 return false;
             }
         }
         return true;
     }
 
-    /** The order of two values of one ordered type. */
+    /** Compares two values of the same ordered type, as {@link Comparable} does. */
     @SuppressWarnings("unchecked")
     static int compare(Object a, Object b) {
         return ((Comparable<Object>) a).compareTo(b);
     }
 
-    /** How large a value is. */
+    /** The size of a value; for a regular expression, the size of its compiled program. */
     static Size measure(Object value) {
         if (value instanceof String text) {
             return Size.chars(text.length());
@@ -88,22 +89,22 @@
         return largest == null ? new Size(0, null, 0) : largest;
     }
 
-    /** Whether a value is of a type; what a program is given is checked by this. */
-    static boolean fits(Object value, Type type) {
+    /** Whether a value is of a type. The attribute values that are given to a frame are checked by this. */
+    static boolean isOfType(Object value, Type type) {
         return switch (type.kind()) {
             case BOOL -> value instanceof Boolean;
             case INT, DURATION, TIMESTAMP -> value instanceof Long;
             case DOUBLE -> value instanceof Double;
             case STRING -> value instanceof String;
             case BYTES -> value instanceof Bytes;
-            case LIST -> value instanceof List<?> list && list.stream().allMatch(v -> fits(v, type.of()));
+            case LIST -> value instanceof List<?> list && list.stream().allMatch(v -> isOfType(v, type.of()));
             case MAP -> value instanceof Map<?, ?> map && map.entrySet().stream()
-                .allMatch(e -> e.getKey() instanceof String && fits(e.getValue(), type.of()));
-            case OPTIONAL -> value instanceof Optional<?> optional && (optional.isEmpty() || fits(optional.get(), type.of()));
+                .allMatch(e -> e.getKey() instanceof String && isOfType(e.getValue(), type.of()));
+            case OPTIONAL -> value instanceof Optional<?> optional && (optional.isEmpty() || isOfType(optional.get(), type.of()));
         };
     }
 
-    /** Whether a value is no larger than a bound. */
+    /** Whether a size is at most the bound, in every dimension and for nested values too. */
     static boolean within(Size size, Size bound) {
         return size.count() <= bound.count() && size.key() <= bound.key()
             && (size.of() == null || bound.of() == null || size.count() == 0 || within(size.of(), bound.of()));
