--- a/expression/src/main/java/ledgewall/expression/Compiler.java
+++ b/expression/src/main/java/ledgewall/expression/Compiler.java
@@ -528,7 +528,7 @@
     private static Code hash(Operand key) {
         return numberCode(frame -> {
             Object value = key.object(frame);
-            return value == null ? 0 : Conversions.hash(value);
+            return value == null ? 0 : Texts.hash(value);
         });
     }
 
@@ -542,7 +542,7 @@
             if (frame.error() == null && count < 1) {
                 frame.error(ErrorKind.OUT_OF_RANGE);
             }
-            return frame.error() != null ? 0 : Long.remainderUnsigned(Conversions.hash(value), count);
+            return frame.error() != null ? 0 : Long.remainderUnsigned(Texts.hash(value), count);
         });
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Functions.java
+++ b/expression/src/main/java/ledgewall/expression/Functions.java
@@ -41,13 +41,14 @@
     /** Functions by form and name, in the order of their declaration. */
     private static final Map<String, List<Function>> BY_FORM_AND_NAME = new LinkedHashMap<>();
 
+    // each of these methods adds the functions of one group
     static {
-        addOperators();
-        addStrings();
-        addConversions();
-        addTimes();
-        addKeysAndRanges();
-        addOptionals();
+        operators();
+        strings();
+        conversions();
+        times();
+        keysAndRanges();
+        optionals();
     }
 
     private Functions() {
@@ -80,7 +81,7 @@
 
     // ---- Operators
 
-    private static void addOperators() {
+    private static void operators() {
         for (String name : List.of("==", "!=")) {
             boolean isEqual = name.equals("==");
             add(new Function(name, Form.OPERATOR, "T, T: bool", isEqual ? "whether two values of one type are equal"
@@ -93,7 +94,7 @@
         addComparison("<=", order -> order <= 0, "whether the first comes no later than the second");
         addComparison(">", order -> order > 0, "whether the first comes after the second");
         addComparison(">=", order -> order >= 0, "whether the first comes no earlier than the second");
-        addArithmetic();
+        arithmetic();
         add(new Function("!", Form.OPERATOR, "bool: bool", "not", "1", exactly(Type.BOOL, Type.BOOL), FIXED_SIZE, ONE_STEP,
             NO_BYTES, a -> !(Boolean) a[0], NO_CHECK));
         add(new Function("+", Form.OPERATOR, "string, string: string", "one after the other", "1 and a 16th of the result",
@@ -121,7 +122,7 @@
         add(new Function("in", Form.OPERATOR, "string, map(string, T): bool", "whether a map has a key",
             "1 and a 16th of the key", t -> t.get(1).kind() == Kind.MAP && t.get(0) == Type.STRING ? Type.BOOL : null, FIXED_SIZE,
             (s, result) -> Costs.charSteps(s.get(0).count()), NO_BYTES, a -> ((Map<?, ?>) a[1]).containsKey(a[0]), NO_CHECK));
-        addIndexes();
+        indexes();
     }
 
     /** Steps to visit a whole value of this size, nested values and map keys included. */
@@ -180,7 +181,7 @@
             a -> operation.of((Double) a[0], (Double) a[1]), NO_CHECK));
     }
 
-    private static void addArithmetic() {
+    private static void arithmetic() {
         addIntegerOperator("+", "sum", Math::addExact, Type.INT, Type.INT, Type.INT);
         addIntegerOperator("+", "sum", Math::addExact, Type.DURATION, Type.DURATION, Type.DURATION);
         addIntegerOperator("+", "later by that", Math::addExact, Type.TIMESTAMP, Type.DURATION, Type.TIMESTAMP);
@@ -211,13 +212,14 @@
         addDoubleOperator("/", "quotient, by IEEE 754", (a, b) -> a / b);
         for (Type type : List.of(Type.INT, Type.DURATION)) {
             add(new Function("-", Form.OPERATOR, type + ": " + type, "the negative", "1", exactly(type, type), FIXED_SIZE,
-                ONE_STEP, ONE_OBJECT, a -> (Long) a[0] == Long.MIN_VALUE ? ErrorKind.OVERFLOW : (Object) (-(Long) a[0]), NO_CHECK));
+                ONE_STEP, ONE_OBJECT, a -> (Long) a[0] == Long.MIN_VALUE ? ErrorKind.OVERFLOW : (Object) (-(Long) a[0]),
+                NO_CHECK));
         }
         add(new Function("-", Form.OPERATOR, "double: double", "the negative", "1", exactly(Type.DOUBLE, Type.DOUBLE), FIXED_SIZE,
             ONE_STEP, ONE_OBJECT, a -> -(Double) a[0], NO_CHECK));
     }
 
-    private static void addIndexes() {
+    private static void indexes() {
         add(new Function("[]", Form.OPERATOR, "map(string, T), string: T", "the value of a key; an error if it has none",
             "1 and a 16th of the key", t -> t.get(0).kind() == Kind.MAP && t.get(1) == Type.STRING ? t.get(0).of() : null,
             s -> s.get(0).of(), (s, result) -> Costs.charSteps(s.get(1).count()), NO_BYTES, a -> {
@@ -258,7 +260,7 @@
             a -> body.of((String) a[0], (String) a[1]), NO_CHECK));
     }
 
-    private static void addStrings() {
+    private static void strings() {
         for (Form form : List.of(Form.FUNCTION, Form.METHOD)) {
             add(new Function("size", form, form == Form.METHOD ? "T.(): int" : "T: int",
                 "characters of a string, bytes, elements of a list or entries of a map", "1",
@@ -274,7 +276,7 @@
         add(new Function("indexOf", Form.METHOD, "string.(string): int", "where the other stands first, or -1",
             "a 16th of the other at each place", exactly(Type.INT, Type.STRING, Type.STRING), FIXED_SIZE, search, ONE_OBJECT,
             a -> (long) ((String) a[0]).indexOf((String) a[1]), NO_CHECK));
-        addPatterns();
+        patterns();
         Pricing linear = (s, result) -> Costs.charSteps(s.get(0).count());
         Sizing sameSize = s -> s.get(0);
         for (boolean toUpper : new boolean[] {false, true}) {
@@ -285,7 +287,7 @@
         }
         add(new Function("trim", Form.METHOD, "string.(): string", "without white space at its ends", "1 and a 16th",
             exactly(Type.STRING, Type.STRING), sameSize, linear, NEW_STRING, a -> ((String) a[0]).strip(), NO_CHECK));
-        addSubstrings();
+        substrings();
         add(new Function("replace", Form.METHOD, "string.(string, string): string",
             "with the third for each second, which must not be empty", "a search, and the result",
             exactly(Type.STRING, Type.STRING, Type.STRING, Type.STRING),
@@ -306,13 +308,14 @@
         return new String(chars);
     }
 
-    private static void addPatterns() {
+    private static void patterns() {
         Check check = c -> c[1] == null ? "the regular expression must be a constant" : c[1] instanceof String source
             ? patternProblem(source) : null;
         Pricing matching = (s, result) -> Costs.matchSteps(s.get(0).count(), s.get(1).count());
         add(new Function("matches", Form.METHOD, "string.(regex): bool", "whether a part of it matches; ^ and $ tie it",
             "a 16th of the compiled program for each character", exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED_SIZE,
-            matching, (s, result) -> Costs.containerBytes(s.get(1).count()), a -> pattern(a[1]).matcher((String) a[0]).find(), check));
+            matching, (s, result) -> Costs.containerBytes(s.get(1).count()), a -> pattern(a[1]).matcher((String) a[0]).find(),
+            check));
         add(new Function("extract", Form.METHOD, "string.(regex): optional(string)",
             "the first group of its first match, or the match where there is no group",
             "a 16th of the compiled program for each character",
@@ -348,7 +351,7 @@
         }
     }
 
-    private static void addSubstrings() {
+    private static void substrings() {
         Check nonNegativeStart = c -> c[1] instanceof Long start && start < 0 ? "characters are counted from 0" : null;
         Body substring = a -> {
             String text = (String) a[0];
@@ -408,10 +411,10 @@
             (s, result) -> Size.plus(Costs.stringBytes(s.get(0).count()), Costs.stringBytes(result.count())), body, NO_CHECK));
     }
 
-    private static void addConversions() {
+    private static void conversions() {
         Sizing formatted = s -> Size.chars(MAX_FORMATTED_CHARS);
         addConversion("int", Type.STRING, Type.INT, "a decimal number, with or without a sign", FIXED_SIZE,
-            a -> Conversions.toInt((String) a[0]));
+            a -> Texts.toInt((String) a[0]));
         addConversion("int", Type.DOUBLE, Type.INT, "without its fraction", FIXED_SIZE, a -> {
             double value = (Double) a[0];
             return Double.isNaN(value) ? ErrorKind.BAD_CONVERSION
@@ -419,34 +422,34 @@
         });
         addConversion("double", Type.INT, Type.DOUBLE, "the nearest", FIXED_SIZE, a -> ((Long) a[0]).doubleValue());
         addConversion("double", Type.STRING, Type.DOUBLE, "a decimal number, with or without an exponent", FIXED_SIZE,
-            a -> Conversions.toDouble((String) a[0]));
+            a -> Texts.toDouble((String) a[0]));
         addConversion("string", Type.INT, Type.STRING, "in decimal digits", formatted, a -> a[0].toString());
         addConversion("string", Type.DOUBLE, Type.STRING, "as Java writes it", formatted, a -> a[0].toString());
         addConversion("string", Type.BOOL, Type.STRING, "true or false", formatted, a -> a[0].toString());
         addConversion("string", Type.DURATION, Type.STRING, "in seconds, as 1.5s", formatted,
-            a -> Conversions.duration((Long) a[0]));
+            a -> Texts.duration((Long) a[0]));
         addConversion("string", Type.TIMESTAMP, Type.STRING, "as RFC 3339 has it, in UTC", formatted,
-            a -> Conversions.timestamp((Long) a[0]));
+            a -> Texts.timestamp((Long) a[0]));
         addConversion("string", Type.BYTES, Type.STRING, "from UTF-8; an error if it is none", s -> s.get(0),
-            a -> Conversions.decode((Bytes) a[0]));
+            a -> Texts.decode((Bytes) a[0]));
         addConversion("bytes", Type.STRING, Type.BYTES, "in UTF-8; an error where it holds half a character",
-            s -> Size.chars(Size.times(3, s.get(0).count())), a -> Conversions.encode((String) a[0]));
+            s -> Size.chars(Size.times(3, s.get(0).count())), a -> Texts.encode((String) a[0]));
     }
 
-    private static void addTimes() {
+    private static void times() {
         addConversion("duration", Type.STRING, Type.DURATION, "as 1h30m, 250ms, -1.5s; units h, m, s, ms, us, ns", FIXED_SIZE,
-            a -> Conversions.toDuration((String) a[0]));
+            a -> Texts.toDuration((String) a[0]));
         addConversion("timestamp", Type.STRING, Type.TIMESTAMP, "as RFC 3339 has it, from 1678 to 2262", FIXED_SIZE,
-            a -> Conversions.toTimestamp((String) a[0]));
-        addTimeField("getFullYear", Type.TIMESTAMP, "the year, in UTC", Conversions::year);
+            a -> Texts.toTimestamp((String) a[0]));
+        addTimeField("getFullYear", Type.TIMESTAMP, "the year, in UTC", Texts::year);
         addTimeField("getDayOfWeek", Type.TIMESTAMP, "0 for Sunday to 6, in UTC",
-            timestamp -> Math.floorMod(Math.floorDiv(timestamp, Conversions.DAY) + 4, 7L));
+            timestamp -> Math.floorMod(Math.floorDiv(timestamp, Texts.DAY) + 4, 7L));
         addTimeField("getHours", Type.TIMESTAMP, "0 to 23, in UTC",
-            timestamp -> Math.floorMod(timestamp, Conversions.DAY) / Conversions.HOUR);
+            timestamp -> Math.floorMod(timestamp, Texts.DAY) / Texts.HOUR);
         addTimeField("getMinutes", Type.TIMESTAMP, "0 to 59, in UTC",
-            timestamp -> Math.floorMod(timestamp, Conversions.HOUR) / Conversions.MINUTE);
-        addTimeField("getSeconds", Type.DURATION, "whole seconds", duration -> duration / Conversions.SECOND);
-        addTimeField("getMilliseconds", Type.DURATION, "whole milliseconds", duration -> duration / Conversions.MILLISECOND);
+            timestamp -> Math.floorMod(timestamp, Texts.HOUR) / Texts.MINUTE);
+        addTimeField("getSeconds", Type.DURATION, "whole seconds", duration -> duration / Texts.SECOND);
+        addTimeField("getMilliseconds", Type.DURATION, "whole milliseconds", duration -> duration / Texts.MILLISECOND);
     }
 
     /** Extracts a component from a duration or timestamp in nanoseconds. */
@@ -461,24 +464,24 @@
 
     // ---- Keys, addresses, optionals
 
-    private static void addKeysAndRanges() {
+    private static void keysAndRanges() {
         for (Type type : List.of(Type.STRING, Type.BYTES, Type.INT)) {
             add(new Function("hash", Form.FUNCTION, type + ": int", "XXH3 of 64 bits; the same in every version",
                 "1 and a 16th", exactly(Type.INT, type), FIXED_SIZE, (s, result) -> Costs.charSteps(s.get(0).count()),
-                (s, result) -> 4 * Size.OBJECT, a -> Conversions.hash(a[0]), NO_CHECK));
+                (s, result) -> 4 * Size.OBJECT, a -> Texts.hash(a[0]), NO_CHECK));
             add(new Function("bucket", Form.FUNCTION, type + ", int: int",
                 "the hash, taken as unsigned, modulo the second: 0 to one less; an error if that is under 1", "1 and a 16th",
                 exactly(Type.INT, type, Type.INT), FIXED_SIZE, (s, result) -> Costs.charSteps(s.get(0).count()),
                 (s, result) -> 4 * Size.OBJECT, a -> (Long) a[1] < 1 ? ErrorKind.OUT_OF_RANGE
-                    : (Object) Long.remainderUnsigned(Conversions.hash(a[0]), (Long) a[1]),
+                    : (Object) Long.remainderUnsigned(Texts.hash(a[0]), (Long) a[1]),
                 c -> c[1] instanceof Long count && count < 1 ? "a count of buckets under 1" : null));
         }
         Check rangeCheck = c -> c[1] == null ? "the address range must be a constant"
-            : c[1] instanceof String text && Conversions.parseRange(text) == null ? "no address range: '" + text + "'" : null;
+            : c[1] instanceof String text && Texts.range(text) == null ? "no address range: '" + text + "'" : null;
         add(new Function("inCidr", Form.METHOD, "string.(range): bool",
             "whether an IPv4 or IPv6 address lies in a range such as 10.0.0.0/8; an error if it is no address", "10",
             exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED_SIZE, (s, result) -> 10,
-            (s, result) -> 100 * Size.OBJECT, a -> Conversions.inRange((String) a[0], a[1]), rangeCheck));
+            (s, result) -> 100 * Size.OBJECT, a -> Texts.inRange((String) a[0], a[1]), rangeCheck));
         for (boolean isMin : new boolean[] {true, false}) {
             add(new Function(isMin ? "min" : "max", Form.FUNCTION, "T, T: T, T int, duration or timestamp",
                 isMin ? "the smaller" : "the larger", "1",
@@ -488,7 +491,7 @@
         }
     }
 
-    private static void addOptionals() {
+    private static void optionals() {
         add(new Function("hasValue", Form.METHOD, "optional(T).(): bool", "whether there is a value", "1",
             t -> t.size() == 1 && t.get(0).kind() == Kind.OPTIONAL ? Type.BOOL : null, FIXED_SIZE, ONE_STEP, NO_BYTES,
             a -> ((Optional<?>) a[0]).isPresent(), NO_CHECK));
--- a/expression/src/main/java/ledgewall/expression/Interpreter.java
+++ b/expression/src/main/java/ledgewall/expression/Interpreter.java
@@ -61,7 +61,7 @@
             return constant.value();
         }
         if (node instanceof Node.Attribute attribute) {
-            return frame.evaluate(attribute.index());
+            return frame.value(attribute.index());
         }
         if (node instanceof Node.Variable variable) {
             return variables[variable.slot()];
@@ -74,7 +74,7 @@
         }
         Node.Choice choice = (Node.Choice) node;
         Object condition = evaluate(choice.condition());
-        return Values.isError(condition) ? condition : value((Boolean) condition ? choice.yes() : choice.no());
+        return Values.isError(condition) ? condition : evaluate((Boolean) condition ? choice.yes() : choice.no());
     }
 
     private Object call(Node.Call call) {
--- a/expression/src/main/java/ledgewall/expression/Program.java
+++ b/expression/src/main/java/ledgewall/expression/Program.java
@@ -92,7 +92,7 @@
     public Object evaluate(Frame frame) {
         frame.reserve(owner, sharedSlots, variableSlots);
         frame.error(null);
-        Object value = code.ref(frame);
+        Object value = code.object(frame);
         return value == null ? frame.error() : value;
     }
 
@@ -117,7 +117,7 @@
     public Evaluation evaluateAndCount(Frame frame) {
         frame.reserve(owner, sharedSlots, variableSlots);
         Interpreter interpreter = new Interpreter(frame, new Object[variableSlots]);
-        Object value = interpreter.value(node);
+        Object value = interpreter.evaluate(node);
         return new Evaluation(value, interpreter.cost());
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Conversions.java
+++ b/expression/src/main/java/ledgewall/expression/Texts.java
@@ -17,11 +17,10 @@
 import java.time.format.DateTimeFormatter;
 
 /**
- * Conversions between strings and other values, and the functions that depend on them: hashes and address ranges. A
- * conversion that fails returns an {@link ErrorKind}. Durations and timestamps are in nanoseconds, timestamps since the Unix
- * epoch.
+ * Conversions between strings and other values, hashes of values, and address ranges. A conversion that fails returns an
+ * {@link ErrorKind}. Durations and timestamps are in nanoseconds, timestamps since the Unix epoch.
  */
-final class Conversions {
+final class Texts {
     // units of time, in nanoseconds
     static final long MILLISECOND = 1_000_000L;
     static final long SECOND = 1_000 * MILLISECOND;
@@ -39,7 +38,7 @@
         .getIPv4AddressParametersBuilder().allow_inet_aton(false).getParentBuilder()
         .getIPv6AddressParametersBuilder().allowZone(false).getParentBuilder().toParams();
 
-    private Conversions() {
+    private Texts() {
     }
 
     static Object toInt(String text) {
@@ -149,7 +148,7 @@
     }
 
     /** Parses an address range; null if the text is not one. */
-    static IPAddress parseRange(String text) {
+    static IPAddress range(String text) {
         return parseAddress(text);
     }
 
