--- a/bench/src/main/java/ledgewall/bench/ExpressionBenchmark.java
+++ b/bench/src/main/java/ledgewall/bench/ExpressionBenchmark.java
@@ -63,7 +63,7 @@
 
     @Benchmark
     public Object interpreted() {
-        return program.count(frame);
+        return program.evaluateAndCount(frame);
     }
 
     @Benchmark
--- a/expression/src/main/java/ledgewall/expression/Checker.java
+++ b/expression/src/main/java/ledgewall/expression/Checker.java
@@ -355,7 +355,7 @@
         if (cost.steps() > limits.steps() || cost.bytes() > limits.bytes()) {
             throw refuse(node.at(), "a constant that takes " + cost + " to compute");
         }
-        Object value = new Interpreter(null, new Object[0]).value(node);
+        Object value = new Interpreter(null, new Object[0]).evaluate(node);
         if (value instanceof ErrorKind error) {
             throw refuse(node.at(), "a constant that is an error: " + error.name().toLowerCase(java.util.Locale.ROOT)
                 .replace('_', ' '));
--- a/expression/src/main/java/ledgewall/expression/Cost.java
+++ b/expression/src/main/java/ledgewall/expression/Cost.java
@@ -106,12 +106,12 @@
     }
 
     static Cost container(long count) {
-        return new Cost(Size.plus(1, count), Costs.container(count));
+        return new Cost(Size.plus(1, count), Costs.containerBytes(count));
     }
 
     static Cost loop(Node.Macro macro, long count) {
         boolean collects = macro == Node.Macro.MAP || macro == Node.Macro.FILTER;
-        return new Cost(1, collects ? Costs.container(count) : 0);
+        return new Cost(1, collects ? Costs.containerBytes(count) : 0);
     }
 
     @Override
--- a/expression/src/main/java/ledgewall/expression/Size.java
+++ b/expression/src/main/java/ledgewall/expression/Size.java
@@ -44,9 +44,9 @@
     /** Steps that it takes to look at all of a value. */
     long walk(Type type) {
         return switch (type.kind()) {
-            case STRING, BYTES -> Costs.chars(count);
+            case STRING, BYTES -> Costs.charSteps(count);
             case LIST -> plus(1, times(count, of.walk(type.of())));
-            case MAP -> plus(1, times(count, plus(Costs.chars(key), of.walk(type.of()))));
+            case MAP -> plus(1, times(count, plus(Costs.charSteps(key), of.walk(type.of()))));
             case OPTIONAL -> plus(1, of.walk(type.of()));
             default -> 1;
         };
--- a/expression/src/test/java/ledgewall/expression/ExpressionsTest.java
+++ b/expression/src/test/java/ledgewall/expression/ExpressionsTest.java
@@ -62,7 +62,7 @@
     void holds(String source) throws ExpressionException {
         Program program = compile(source);
         assertEquals(true, program.evaluate(booking()), source);
-        Program.Counted counted = program.count(booking());
+        Program.Evaluation counted = program.evaluateAndCount(booking());
         assertEquals(true, counted.value());
         assertTrue(counted.cost().steps() <= program.cost().steps(), source);
     }
@@ -85,7 +85,7 @@
         }
         Program program = compile(source);
         assertEquals(ErrorKind.valueOf(kind), program.evaluate(booking()));
-        assertEquals(ErrorKind.valueOf(kind), program.count(booking()).value());
+        assertEquals(ErrorKind.valueOf(kind), program.evaluateAndCount(booking()).value());
         assertEquals(false, program.matches(booking()));
     }
 
@@ -147,7 +147,7 @@
         Program program = expressions.compile("n60");
         assertTrue(program.cost().steps() < 500, program.cost().toString());
         assertEquals(true, program.evaluate(booking()));
-        assertEquals(true, program.count(booking()).value());
+        assertEquals(true, program.evaluateAndCount(booking()).value());
         assertThrows(ExpressionException.class, () -> expressions.define("n1", "true"));
         assertThrows(ExpressionException.class, () -> expressions.define("later", "later"));
         Expressions strings = new Expressions(schema, Limits.USUAL);
@@ -171,7 +171,7 @@
         Frame frame = request("user", "x", "sql.text", "SELECT book (7)", "sql.tables", List.of("bays"));
         for (int i = 0; i < apart.size(); i++) {
             assertEquals(apart.get(i).evaluate(frame), shared.get(i).evaluate(frame));
-            assertEquals(apart.get(i).evaluate(frame), shared.get(i).count(frame).value());
+            assertEquals(apart.get(i).evaluate(frame), shared.get(i).evaluateAndCount(frame).value());
         }
         List<String> plan = Reference.plan(shared.get(1));
         assertTrue(plan.get(1).contains("shared part"), plan::toString);
--- a/expression/src/test/java/ledgewall/expression/FuzzTest.java
+++ b/expression/src/test/java/ledgewall/expression/FuzzTest.java
@@ -101,16 +101,16 @@
         count("accepted");
         for (int i = 0; i < REQUESTS; i++) {
             Frame request = generator.request();
-            Program.Counted counted = program.count(request);
+            Program.Evaluation counted = program.evaluateAndCount(request);
             Object value = program.evaluate(request);
             assertTrue(same(counted.value(), value), () -> source + ": " + counted.value() + " and compiled " + value);
             assertTrue(counted.cost().steps() <= program.cost().steps() && counted.cost().bytes() <= program.cost().bytes(),
                 () -> source + " took " + counted.cost() + ", bound " + program.cost());
             assertTrue(same(value, shared.evaluate(request)), () -> source + " is another value where it is shared");
-            assertTrue(shared.count(request).cost().steps() <= shared.cost().steps(), source);
+            assertTrue(shared.evaluateAndCount(request).cost().steps() <= shared.cost().steps(), source);
             count(value instanceof ErrorKind error ? "error: " + error : "value");
             if (!(value instanceof ErrorKind)) {
-                assertTrue(Values.fits(value, program.type()), () -> source + ": " + value + " is no " + program.type());
+                assertTrue(Values.isOfType(value, program.type()), () -> source + ": " + value + " is no " + program.type());
                 assertTrue(Values.within(Values.measure(value), program.size()), () -> source + ": " + value + " is larger than "
                     + program.size());
             }
