--- a/expression/src/main/java/ledgewall/expression/Checker.java
+++ b/expression/src/main/java/ledgewall/expression/Checker.java
@@ -188,7 +188,7 @@
     private Node postfix(PostfixContext tree, int depth) throws ExpressionException {
         List<ParseTree> tail = new ArrayList<>(tree.children.subList(1, tree.children.size()));
         deeper(tree, depth + tail.size());
-        Node value = tree.primary() instanceof GrammarParser.NameContext name && name.OPEN() == null
+        Node value = tree.primary() instanceof GrammarParser.NameOrCallContext name && name.LPAREN() == null
             ? name(name.NAME().getSymbol(), tail) : primary(tree.primary(), depth);
         for (ParseTree part : tail) {
             if (part instanceof GrammarParser.IndexContext index) {
@@ -209,7 +209,7 @@
         }
         List<String> names = new ArrayList<>(List.of(first.getText()));
         for (ParseTree part : tail) {
-            if (!(part instanceof MemberContext member) || member.OPEN() != null) {
+            if (!(part instanceof MemberContext member) || member.LPAREN() != null) {
                 break;
             }
             names.add(names.get(names.size() - 1) + "." + member.NAME().getText());
@@ -243,10 +243,10 @@
         if (tree instanceof GrammarParser.ConstantContext constant) {
             return literal(constant.literal());
         }
-        if (tree instanceof GrammarParser.BracketsContext brackets) {
+        if (tree instanceof GrammarParser.ParenthesizedContext brackets) {
             return expression(brackets.expression(), depth);
         }
-        if (tree instanceof GrammarParser.NameContext function) {
+        if (tree instanceof GrammarParser.NameOrCallContext function) {
             return call(function.NAME().getText(), Form.FUNCTION, at(function), arguments(function.arguments(), depth));
         }
         return tree instanceof GrammarParser.ListContext list ? list(list, depth) : map((GrammarParser.MapContext) tree, depth);
@@ -265,7 +265,7 @@
     private Node member(Node value, MemberContext tree, int depth) throws ExpressionException {
         String name = tree.NAME().getText();
         Position at = at(tree.NAME().getSymbol());
-        if (tree.OPEN() == null) {
+        if (tree.LPAREN() == null) {
             if (value.type().kind() != Kind.MAP) {
                 throw refuse(at, value.type() + " has no part '" + name + "'");
             }
@@ -376,7 +376,7 @@
         return switch (token.getType()) {
             case GrammarParser.TRUE, GrammarParser.FALSE -> constant(token.getType() == GrammarParser.TRUE, Type.BOOL, at);
             case GrammarParser.INTEGER -> integer(text, at);
-            case GrammarParser.REAL -> {
+            case GrammarParser.FLOAT -> {
                 double value = Double.parseDouble(text);
                 if (Double.isInfinite(value)) {
                     throw refuse(at, "a double beyond the largest");
--- a/expression/src/main/java/ledgewall/expression/Expressions.java
+++ b/expression/src/main/java/ledgewall/expression/Expressions.java
@@ -104,11 +104,11 @@
         for (Token token : tokens.getTokens()) {
             int type = token.getType();
             Position at = new Position(token.getLine(), token.getCharPositionInLine() + 1);
-            if (type == GrammarLexer.STRANGE) {
+            if (type == GrammarLexer.UNRECOGNIZED) {
                 throw new ExpressionException(at, "unexpected " + shown(token.getText()));
             }
-            depth += type == GrammarLexer.OPEN || type == GrammarLexer.LEFT || type == GrammarLexer.BEGIN ? 1
-                : type == GrammarLexer.CLOSE || type == GrammarLexer.RIGHT || type == GrammarLexer.END ? -1 : 0;
+            depth += type == GrammarLexer.LPAREN || type == GrammarLexer.LBRACKET || type == GrammarLexer.LBRACE ? 1
+                : type == GrammarLexer.RPAREN || type == GrammarLexer.RBRACKET || type == GrammarLexer.RBRACE ? -1 : 0;
             signs = token.getText().equals("!") || token.getText().equals("-") ? signs + 1 : 0;
             conditionals += type == GrammarLexer.QUESTION ? 1 : 0;
             if (Math.max(Math.max(depth, signs), conditionals) > limits.nesting()) {
