--- a/expression/src/main/java/ledgewall/expression/Cost.java
+++ b/expression/src/main/java/ledgewall/expression/Cost.java
@@ -11,8 +11,8 @@
  * @param bytes what is allocated
  */
 public record Cost(long steps, long bytes) {
-    static final Cost NONE = new Cost(0, 0);
-    private static final Cost STEP = new Cost(1, 0);
+    static final Cost ZERO = new Cost(0, 0);
+    private static final Cost ONE_STEP = new Cost(1, 0);
 
     Cost plus(Cost other) {
         return new Cost(Size.plus(steps, other.steps), Size.plus(bytes, other.bytes));
@@ -22,7 +22,7 @@
         return new Cost(Size.times(steps, count), Size.times(bytes, count));
     }
 
-    private Cost or(Cost other) {
+    private Cost max(Cost other) {
         return new Cost(Math.max(steps, other.steps), Math.max(bytes, other.bytes));
     }
 
@@ -31,95 +31,95 @@
         return of(node, new HashSet<>());
     }
 
-    private static Cost of(Node node, Set<Integer> shared) {
-        if (node instanceof Node.Logic logic) {
-            return all(logic.parts(), shared).plus(STEP);
+    private static Cost of(Node node, Set<Integer> countedSlots) {
+        if (node instanceof Node.Logical logic) {
+            return sum(logic.operands(), countedSlots).plus(ONE_STEP);
         }
-        if (node instanceof Node.Choice choice) {
+        if (node instanceof Node.Conditional choice) {
             // a shared one in either branch is counted before them: whichever asks first pays
-            Cost condition = of(choice.condition(), shared);
-            Cost defined = shared(choice.yes(), shared).plus(shared(choice.no(), shared));
-            return condition.plus(defined).plus(of(choice.yes(), shared).or(of(choice.no(), shared))).plus(STEP);
+            Cost condition = of(choice.condition(), countedSlots);
+            Cost sharedCost = ofSharedOnFirstUse(choice.whenTrue(), countedSlots).plus(ofSharedOnFirstUse(choice.whenFalse(), countedSlots));
+            return condition.plus(sharedCost).plus(of(choice.whenTrue(), countedSlots).max(of(choice.whenFalse(), countedSlots))).plus(ONE_STEP);
         }
         if (node instanceof Node.Call call) {
             List<Size> sizes = call.arguments().stream().map(Node::size).toList();
-            return all(call.arguments(), shared).plus(own(call.function(), sizes, call.size()));
+            return sum(call.arguments(), countedSlots).plus(ofCall(call.function(), sizes, call.size()));
         }
-        if (node instanceof Node.ListOf list) {
-            return all(list.elements(), shared).plus(container(list.elements().size()));
+        if (node instanceof Node.ListLiteral list) {
+            return sum(list.elements(), countedSlots).plus(ofContainer(list.elements().size()));
         }
-        if (node instanceof Node.MapOf map) {
-            return all(map.values(), shared).plus(container(map.values().size()));
+        if (node instanceof Node.MapLiteral map) {
+            return sum(map.values(), countedSlots).plus(ofContainer(map.values().size()));
         }
-        if (node instanceof Node.Loop loop) {
-            Cost defined = shared(loop.body(), shared);
-            long count = loop.range().size().count();
-            return of(loop.range(), shared).plus(defined).plus(of(loop.body(), shared).plus(STEP).times(count))
-                .plus(loop(loop.macro(), count));
+        if (node instanceof Node.Comprehension loop) {
+            Cost sharedCost = ofSharedOnFirstUse(loop.body(), countedSlots);
+            long count = loop.list().size().count();
+            return of(loop.list(), countedSlots).plus(sharedCost).plus(of(loop.body(), countedSlots).plus(ONE_STEP).times(count))
+                .plus(ofComprehension(loop.macro(), count));
         }
-        if (node instanceof Node.Shared other) {
-            return shared.add(other.slot()) ? of(other.body(), shared).plus(STEP) : STEP;
+        if (node instanceof Node.SharedExpression shared) {
+            return countedSlots.add(shared.slot()) ? of(shared.body(), countedSlots).plus(ONE_STEP) : ONE_STEP;
         }
-        return STEP;
+        return ONE_STEP;
     }
 
     /** The shared ones below a node that were not counted yet: they count as if asked for before it. */
-    private static Cost shared(Node node, Set<Integer> counted) {
-        if (node instanceof Node.Shared) {
-            return of(node, counted);
+    private static Cost ofSharedOnFirstUse(Node node, Set<Integer> countedSlots) {
+        if (node instanceof Node.SharedExpression) {
+            return of(node, countedSlots);
         }
-        Cost sum = NONE;
-        for (Node part : parts(node)) {
-            sum = sum.plus(shared(part, counted));
+        Cost total = ZERO;
+        for (Node part : children(node)) {
+            total = total.plus(ofSharedOnFirstUse(part, countedSlots));
         }
-        return sum;
+        return total;
     }
 
-    static List<Node> parts(Node node) {
-        if (node instanceof Node.Logic logic) {
-            return logic.parts();
-        } else if (node instanceof Node.Choice choice) {
-            return List.of(choice.condition(), choice.yes(), choice.no());
+    static List<Node> children(Node node) {
+        if (node instanceof Node.Logical logic) {
+            return logic.operands();
+        } else if (node instanceof Node.Conditional choice) {
+            return List.of(choice.condition(), choice.whenTrue(), choice.whenFalse());
         } else if (node instanceof Node.Call call) {
             return call.arguments();
-        } else if (node instanceof Node.ListOf list) {
+        } else if (node instanceof Node.ListLiteral list) {
             return list.elements();
-        } else if (node instanceof Node.MapOf map) {
+        } else if (node instanceof Node.MapLiteral map) {
             return map.values();
-        } else if (node instanceof Node.Loop loop) {
-            return List.of(loop.range(), loop.body());
+        } else if (node instanceof Node.Comprehension loop) {
+            return List.of(loop.list(), loop.body());
         }
         return List.of();
     }
 
-    private static Cost all(List<Node> nodes, Set<Integer> shared) {
-        Cost sum = NONE;
+    private static Cost sum(List<Node> nodes, Set<Integer> countedSlots) {
+        Cost total = ZERO;
         for (Node node : nodes) {
-            sum = sum.plus(of(node, shared));
+            total = total.plus(of(node, countedSlots));
         }
-        return sum;
+        return total;
     }
 
     /** What a call takes beside its arguments, from bounds or from actual sizes alike. */
-    static Cost own(Function function, List<Size> arguments, Size result) {
-        return new Cost(Size.plus(1, function.steps().of(arguments, result)), function.bytes().of(arguments, result));
+    static Cost ofCall(Function function, List<Size> arguments, Size result) {
+        return new Cost(Size.plus(1, function.stepCost().of(arguments, result)), function.byteCost().of(arguments, result));
     }
 
-    static Cost container(long count) {
+    static Cost ofContainer(long count) {
         return new Cost(Size.plus(1, count), Costs.container(count));
     }
 
-    static Cost loop(Node.Macro macro, long count) {
-        boolean collects = macro == Node.Macro.MAP || macro == Node.Macro.FILTER;
-        return new Cost(1, collects ? Costs.container(count) : 0);
+    static Cost ofComprehension(Node.Macro macro, long count) {
+        boolean buildsList = macro == Node.Macro.MAP || macro == Node.Macro.FILTER;
+        return new Cost(1, buildsList ? Costs.container(count) : 0);
     }
 
     @Override
     public String toString() {
-        return amount(steps) + " steps and " + amount(bytes) + " bytes";
+        return format(steps) + " steps and " + format(bytes) + " bytes";
     }
 
-    private static String amount(long count) {
+    private static String format(long count) {
         return count == Long.MAX_VALUE ? "countless" : Long.toString(count);
     }
 }
--- a/expression/src/main/java/ledgewall/expression/ExpressionException.java
+++ b/expression/src/main/java/ledgewall/expression/ExpressionException.java
@@ -3,7 +3,7 @@
 /** An expression that is not accepted: what is wrong, where, and what would be right where that can be told. */
 public final class ExpressionException extends Exception {
     private static final long serialVersionUID = 1L;
-    private static final int SHOWN = 120;
+    private static final int EXCERPT_CHARS = 120;
 
     private final transient Position position;
     private final String reason;
@@ -24,13 +24,13 @@
     }
 
     /** The message with the line of source that it speaks of, and a caret under the place. */
-    public String show(String name, String source) {
+    public String formatWithSource(String name, String source) {
         String[] lines = source.split("\n", -1);
         String line = position.line() <= lines.length ? lines[position.line() - 1] : "";
-        int start = Math.max(0, position.column() - 1 - SHOWN / 2);
-        int end = Math.min(line.length(), start + SHOWN);
-        String shown = start >= end ? "" : line.substring(start, end).replaceAll("\\p{Cntrl}", " ");
-        return name + ":" + position + ": " + reason + "\n  " + shown + "\n  "
+        int start = Math.max(0, position.column() - 1 - EXCERPT_CHARS / 2);
+        int end = Math.min(line.length(), start + EXCERPT_CHARS);
+        String excerpt = start >= end ? "" : line.substring(start, end).replaceAll("\\p{Cntrl}", " ");
+        return name + ":" + position + ": " + reason + "\n  " + excerpt + "\n  "
             + " ".repeat(Math.max(0, position.column() - 1 - start)) + "^";
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Limits.java
+++ b/expression/src/main/java/ledgewall/expression/Limits.java
@@ -10,6 +10,6 @@
  * @param steps the bound on an evaluation's steps
  * @param bytes the bound on what one evaluation allocates
  */
-public record Limits(int source, int tokens, int nesting, int depth, long steps, long bytes) {
-    public static final Limits USUAL = new Limits(16 * 1024, 2_048, 32, 128, 100_000, 1024 * 1024);
+public record Limits(int maxSourceChars, int maxTokens, int maxNesting, int maxDepth, long maxSteps, long maxBytes) {
+    public static final Limits DEFAULT = new Limits(16 * 1024, 2_048, 32, 128, 100_000, 1024 * 1024);
 }
--- a/expression/src/main/java/ledgewall/expression/Node.java
+++ b/expression/src/main/java/ledgewall/expression/Node.java
@@ -8,17 +8,17 @@
 
     Size size();
 
-    Position at();
+    Position position();
 
-    record Constant(Object value, Type type, Size size, Position at) implements Node { }
+    record Constant(Object value, Type type, Size size, Position position) implements Node { }
 
-    record Attribute(int index, String name, Type type, Size size, Position at) implements Node { }
+    record Attribute(int index, String name, Type type, Size size, Position position) implements Node { }
 
     /** What a comprehension names, by its slot. */
-    record Variable(int slot, String name, Type type, Size size, Position at) implements Node { }
+    record Variable(int slot, String name, Type type, Size size, Position position) implements Node { }
 
     /** All of its parts, or any: an error counts only where no other part decides. */
-    record Logic(boolean all, List<Node> parts, Position at) implements Node {
+    record Logical(boolean isConjunction, List<Node> operands, Position position) implements Node {
         @Override
         public Type type() {
             return Type.BOOL;
@@ -30,16 +30,16 @@
         }
     }
 
-    record Choice(Node condition, Node yes, Node no, Type type, Size size, Position at) implements Node { }
+    record Conditional(Node condition, Node whenTrue, Node whenFalse, Type type, Size size, Position position) implements Node { }
 
-    record Call(Function function, List<Node> arguments, Type type, Size size, Position at) implements Node { }
+    record Call(Function function, List<Node> arguments, Type type, Size size, Position position) implements Node { }
 
-    record ListOf(List<Node> elements, Type type, Size size, Position at) implements Node { }
+    record ListLiteral(List<Node> elements, Type type, Size size, Position position) implements Node { }
 
-    record MapOf(List<String> keys, List<Node> values, Type type, Size size, Position at) implements Node { }
+    record MapLiteral(List<String> keys, List<Node> values, Type type, Size size, Position position) implements Node { }
 
     /** Another expression by its name: computed at most once in an evaluation, whoever asks. */
-    record Shared(int slot, String name, Node body, Position at) implements Node {
+    record SharedExpression(int slot, String name, Node body, Position position) implements Node {
         @Override
         public Type type() {
             return body.type();
@@ -55,5 +55,5 @@
     enum Macro { ALL, EXISTS, EXISTS_ONE, FILTER, MAP }
 
     /** The body is evaluated once for each element, which stands in the slot meanwhile. */
-    record Loop(Macro macro, Node range, int slot, Node body, Type type, Size size, Position at) implements Node { }
+    record Comprehension(Macro macro, Node list, int slot, Node body, Type type, Size size, Position position) implements Node { }
 }
--- a/expression/src/main/java/ledgewall/expression/Reference.java
+++ b/expression/src/main/java/ledgewall/expression/Reference.java
@@ -11,30 +11,30 @@
     }
 
     /** A line of a Markdown table for each function, method and operator. */
-    public static List<String> functions() {
+    public static List<String> functionRows() {
         return Functions.all().stream().sorted(Comparator.comparing(Function::form).thenComparing(Function::name))
-            .map(f -> "| " + cell(f.form().name().toLowerCase(Locale.ROOT)) + " | `" + f.name() + "` | " + cell(f.signature())
-                + " | " + cell(f.meaning()) + " | " + cell(f.cost()) + " |").toList();
+            .map(f -> "| " + escapeCell(f.form().name().toLowerCase(Locale.ROOT)) + " | `" + f.name() + "` | " + escapeCell(f.signature())
+                + " | " + escapeCell(f.description()) + " | " + escapeCell(f.costText()) + " |").toList();
     }
 
     /** A line for each attribute. */
-    public static List<String> attributes(Schema schema) {
-        return schema.attributes().stream().map(a -> "| `" + a.name() + "` | " + a.type() + " | " + size(a) + " | " + a.meaning()
+    public static List<String> attributeRows(Schema schema) {
+        return schema.attributes().stream().map(a -> "| `" + a.name() + "` | " + a.type() + " | " + sizeText(a) + " | " + a.description()
             + " |").toList();
     }
 
-    private static String cell(String text) {
+    private static String escapeCell(String text) {
         return text.replace("|", "\\|");
     }
 
-    private static String size(Schema.Attribute attribute) {
+    private static String sizeText(Schema.Attribute attribute) {
         Size size = attribute.size();
         return switch (attribute.type().kind()) {
             case STRING -> size.count() + " characters";
             case BYTES -> size.count() + " bytes";
-            case LIST -> size.count() + " of " + size.of().count();
-            case MAP -> size.count() + " entries, keys of " + size.key() + ", values of " + size.of().count();
-            case OPTIONAL -> size.of().count() + " characters";
+            case LIST -> size.count() + " of " + size.element().count();
+            case MAP -> size.count() + " entries, keys of " + size.keyChars() + ", values of " + size.element().count();
+            case OPTIONAL -> size.element().count() + " characters";
             default -> "";
         };
     }
@@ -47,12 +47,12 @@
     }
 
     private static void plan(Node node, String indent, List<String> lines) {
-        lines.add(indent + name(node) + ": " + node.type() + ", " + Cost.of(node));
-        List<Node> parts = node instanceof Node.Shared shared ? List.of(shared.body()) : Cost.parts(node);
-        parts.forEach(part -> plan(part, indent + "  ", lines));
+        lines.add(indent + label(node) + ": " + node.type() + ", " + Cost.of(node));
+        List<Node> children = node instanceof Node.SharedExpression shared ? List.of(shared.body()) : Cost.children(node);
+        children.forEach(child -> plan(child, indent + "  ", lines));
     }
 
-    private static String name(Node node) {
+    private static String label(Node node) {
         if (node instanceof Node.Constant constant) {
             String text = String.valueOf(constant.value());
             return "constant " + (text.length() > 40 ? text.substring(0, 40) + "..." : text);
@@ -60,16 +60,16 @@
             return "attribute " + attribute.name();
         } else if (node instanceof Node.Variable variable) {
             return "element " + variable.name();
-        } else if (node instanceof Node.Logic logic) {
-            return logic.all() ? "all of" : "any of";
+        } else if (node instanceof Node.Logical logic) {
+            return logic.isConjunction() ? "all of" : "any of";
         } else if (node instanceof Node.Call call) {
             return "call " + call.function().name();
-        } else if (node instanceof Node.Loop loop) {
+        } else if (node instanceof Node.Comprehension loop) {
             return "each, " + loop.macro().name().toLowerCase(Locale.ROOT);
-        } else if (node instanceof Node.Shared shared) {
+        } else if (node instanceof Node.SharedExpression shared) {
             return "shared " + shared.name();
         }
-        return node instanceof Node.Choice ? "choice" : node instanceof Node.ListOf ? "list" : "map";
+        return node instanceof Node.Conditional ? "choice" : node instanceof Node.ListLiteral ? "list" : "map";
     }
 
     /** What an index can find a condition by. */
@@ -78,7 +78,7 @@
             String subject = schema.attributes().get(r.subject().attribute()).name()
                 + (r.subject().key() == null ? "" : "['" + r.subject().key() + "']");
             return subject + (r.values() != null ? " in " + r.values().stream().map(Object::toString).sorted().toList()
-                : r.prefix() != null ? " begins with '" + r.prefix() + "'" : " from " + r.least() + " to " + r.most());
+                : r.prefix() != null ? " begins with '" + r.prefix() + "'" : " from " + r.min() + " to " + r.max());
         }).toList();
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Requirement.java
+++ b/expression/src/main/java/ledgewall/expression/Requirement.java
@@ -16,7 +16,7 @@
  * @param least the least integer, duration or timestamp, where a range is required
  * @param most the greatest
  */
-public record Requirement(Subject subject, Set<Object> values, String prefix, long least, long most) {
+public record Requirement(Subject subject, Set<Object> values, String prefix, long min, long max) {
     /**
      * An attribute, or an entry of one that is a map.
      *
@@ -39,58 +39,58 @@
             return false;
         }
         if (values != null) {
-            return values.stream().allMatch(other::isMetBy);
+            return values.stream().allMatch(other::accepts);
         }
         if (prefix != null) {
             return other.prefix != null && prefix.startsWith(other.prefix);
         }
-        return other.values == null && other.prefix == null && other.least <= least && other.most >= most;
+        return other.values == null && other.prefix == null && other.min <= min && other.max >= max;
     }
 
-    private boolean isMetBy(Object value) {
+    private boolean accepts(Object value) {
         return values != null ? values.contains(value)
             : prefix != null ? value instanceof String text && text.startsWith(prefix)
-            : value instanceof Long number && number >= least && number <= most;
+            : value instanceof Long number && number >= min && number <= max;
     }
 
     /** What a condition requires of single subjects: one for each part that says so plainly. */
     static List<Requirement> of(Node condition) {
-        List<Requirement> all = new ArrayList<>();
-        for (Node part : conjuncts(condition)) {
-            Requirement requirement = plain(part);
+        List<Requirement> requirements = new ArrayList<>();
+        for (Node conjunct : conjuncts(condition)) {
+            Requirement requirement = ofConjunct(conjunct);
             if (requirement != null) {
-                all.add(requirement);
+                requirements.add(requirement);
             }
         }
-        return all;
+        return requirements;
     }
 
     /** The parts that must all hold. */
     static List<Node> conjuncts(Node condition) {
-        if (condition instanceof Node.Shared shared) {
+        if (condition instanceof Node.SharedExpression shared) {
             return conjuncts(shared.body());
         }
-        if (condition instanceof Node.Logic logic && logic.all()) {
-            return logic.parts().stream().flatMap(part -> conjuncts(part).stream()).toList();
+        if (condition instanceof Node.Logical logic && logic.isConjunction()) {
+            return logic.operands().stream().flatMap(part -> conjuncts(part).stream()).toList();
         }
         return List.of(condition);
     }
 
-    private static Requirement plain(Node part) {
-        if (part instanceof Node.Logic logic && !logic.all()) {
-            return either(logic.parts());
+    private static Requirement ofConjunct(Node conjunct) {
+        if (conjunct instanceof Node.Logical logic && !logic.isConjunction()) {
+            return ofDisjunction(logic.operands());
         }
-        if (part instanceof Node.Shared shared) {
-            return plain(shared.body());
+        if (conjunct instanceof Node.SharedExpression shared) {
+            return ofConjunct(shared.body());
         }
-        if (part instanceof Node.Attribute flag) { // a bool, as all that is required
+        if (conjunct instanceof Node.Attribute flag) { // a bool, as all that is required
             return new Requirement(new Subject(flag.index(), null), Set.of(true), null, 0, 0);
         }
-        if (part instanceof Node.Call not && not.function().name().equals("!")
-                && not.arguments().get(0) instanceof Node.Attribute flag) {
+        if (conjunct instanceof Node.Call negation && negation.function().name().equals("!")
+                && negation.arguments().get(0) instanceof Node.Attribute flag) {
             return new Requirement(new Subject(flag.index(), null), Set.of(false), null, 0, 0);
         }
-        if (!(part instanceof Node.Call call) || call.arguments().size() != 2) {
+        if (!(conjunct instanceof Node.Call call) || call.arguments().size() != 2) {
             return null;
         }
         Node first = call.arguments().get(0);
@@ -99,13 +99,13 @@
         if (subject != null && second instanceof Node.Constant constant) {
             return of(call.function().name(), subject, first.type(), constant.value());
         }
-        Subject other = subject(second);
-        return other != null && first instanceof Node.Constant constant
-            ? of(turned(call.function().name()), other, second.type(), constant.value()) : null;
+        Subject mirroredSubject = subject(second);
+        return mirroredSubject != null && first instanceof Node.Constant constant
+            ? of(mirroredOperator(call.function().name()), mirroredSubject, second.type(), constant.value()) : null;
     }
 
-    private static String turned(String name) {
-        return switch (name) {
+    private static String mirroredOperator(String operator) {
+        return switch (operator) {
             case "==" -> "==";
             case "<" -> ">";
             case "<=" -> ">=";
@@ -116,39 +116,39 @@
     }
 
     /** Any of several values of one subject is a set. */
-    private static Requirement either(List<Node> parts) {
+    private static Requirement ofDisjunction(List<Node> operands) {
         Set<Object> values = new HashSet<>();
         Subject subject = null;
-        for (Node part : parts) {
-            Requirement one = plain(part);
-            if (one == null || one.values == null || subject != null && !one.subject.equals(subject)) {
+        for (Node operand : operands) {
+            Requirement requirement = ofConjunct(operand);
+            if (requirement == null || requirement.values == null || subject != null && !requirement.subject.equals(subject)) {
                 return null;
             }
-            subject = one.subject;
-            values.addAll(one.values);
+            subject = requirement.subject;
+            values.addAll(requirement.values);
         }
         return new Requirement(subject, values, null, 0, 0);
     }
 
-    private static Requirement of(String name, Subject subject, Type type, Object constant) {
-        boolean exact = type == Type.STRING || type == Type.BYTES || type.isLong();
-        boolean number = type.isLong() && constant instanceof Long;
-        long value = number ? (Long) constant : 0;
-        return switch (name) {
-            case "==" -> exact ? new Requirement(subject, Set.of(constant), null, 0, 0) : null;
-            case "in" -> exact && constant instanceof List<?> list
+    private static Requirement of(String operator, Subject subject, Type type, Object constant) {
+        boolean hasExactEquality = type == Type.STRING || type == Type.BYTES || type.isLong();
+        boolean isLongConstant = type.isLong() && constant instanceof Long;
+        long value = isLongConstant ? (Long) constant : 0;
+        return switch (operator) {
+            case "==" -> hasExactEquality ? new Requirement(subject, Set.of(constant), null, 0, 0) : null;
+            case "in" -> hasExactEquality && constant instanceof List<?> list
                 ? new Requirement(subject, new HashSet<>(list), null, 0, 0) : null;
             case "startsWith" -> new Requirement(subject, null, (String) constant, 0, 0);
-            case ">=" -> number ? range(subject, value, Long.MAX_VALUE) : null;
-            case "<=" -> number ? range(subject, Long.MIN_VALUE, value) : null;
-            case ">" -> number && value < Long.MAX_VALUE ? range(subject, value + 1, Long.MAX_VALUE) : null;
-            case "<" -> number && value > Long.MIN_VALUE ? range(subject, Long.MIN_VALUE, value - 1) : null;
+            case ">=" -> isLongConstant ? range(subject, value, Long.MAX_VALUE) : null;
+            case "<=" -> isLongConstant ? range(subject, Long.MIN_VALUE, value) : null;
+            case ">" -> isLongConstant && value < Long.MAX_VALUE ? range(subject, value + 1, Long.MAX_VALUE) : null;
+            case "<" -> isLongConstant && value > Long.MIN_VALUE ? range(subject, Long.MIN_VALUE, value - 1) : null;
             default -> null;
         };
     }
 
-    private static Requirement range(Subject subject, long least, long most) {
-        return new Requirement(subject, null, null, least, most);
+    private static Requirement range(Subject subject, long min, long max) {
+        return new Requirement(subject, null, null, min, max);
     }
 
     /** An attribute; an entry under a constant key; or such an entry with a default, unless the default would do. */
--- a/expression/src/main/java/ledgewall/expression/Schema.java
+++ b/expression/src/main/java/ledgewall/expression/Schema.java
@@ -9,16 +9,16 @@
 /** The attributes that expressions may name, each with its type and greatest size. A request may lack any of them. */
 public final class Schema {
     /** One attribute: its place among the schema's, and what it can hold. */
-    public record Attribute(int index, String name, Type type, Size size, String meaning) { }
+    public record Attribute(int index, String name, Type type, Size size, String description) { }
 
     private final Map<String, Attribute> attributes = new LinkedHashMap<>();
 
     /** The next attribute; its name may have parts, with dots between them. */
-    public Schema with(String name, Type type, Size size, String meaning) {
+    public Schema with(String name, Type type, Size size, String description) {
         if (!name.matches("[A-Za-z_][A-Za-z0-9_]*(\\.[A-Za-z_][A-Za-z0-9_]*)*")) {
             throw new IllegalArgumentException("no name of an attribute: '" + name + "'");
         }
-        if (attributes.putIfAbsent(name, new Attribute(attributes.size(), name, type, size, meaning)) != null) {
+        if (attributes.putIfAbsent(name, new Attribute(attributes.size(), name, type, size, description)) != null) {
             throw new IllegalArgumentException("two attributes are named '" + name + "'");
         }
         return this;
@@ -32,34 +32,34 @@
         return new ArrayList<>(attributes.values());
     }
 
-    public Set<String> names() {
+    public Set<String> attributeNames() {
         return attributes.keySet();
     }
 
-    public int count() {
+    public int attributeCount() {
         return attributes.size();
     }
 
     /** What proxies and gateways tell of a request, whichever protocol it came by. */
     public static Schema ofRequests() {
-        Size word = Size.chars(128);
-        Size line = Size.chars(2_048);
+        Size identifierSize = Size.chars(128);
+        Size pathSize = Size.chars(2_048);
         return new Schema()
             .with("method", Type.STRING, Size.chars(32), "an HTTP request's method")
-            .with("path", Type.STRING, line, "its path, without the query")
+            .with("path", Type.STRING, pathSize, "its path, without the query")
             .with("authority", Type.STRING, Size.chars(256), "its host")
             .with("headers", Type.mapOf(Type.STRING), Size.map(100, 128, Size.chars(1_024)), "its headers, names in lower case")
             .with("query", Type.mapOf(Type.STRING), Size.map(64, 128, Size.chars(1_024)),
                 "its query parameters, the first of each")
             .with("sql.text", Type.STRING, Size.chars(16_384), "a statement's text, its comment included")
             .with("sql.keyword", Type.STRING, Size.chars(32), "its first word, in capitals")
-            .with("sql.tables", Type.listOf(Type.STRING), Size.list(16, word), "the tables that it names, in lower case")
+            .with("sql.tables", Type.listOf(Type.STRING), Size.list(16, identifierSize), "the tables that it names, in lower case")
             .with("sql.writes", Type.BOOL, Size.ONE, "whether a word that changes data or locks rows stands outside its quotes")
             .with("comment", Type.mapOf(Type.STRING), Size.map(16, 32, Size.chars(256)), "the fields of its comment")
-            .with("database", Type.STRING, word, "the database that its client named")
-            .with("user", Type.STRING, word, "the user that its client named")
+            .with("database", Type.STRING, identifierSize, "the database that its client named")
+            .with("user", Type.STRING, identifierSize, "the user that its client named")
             .with("peer.address", Type.STRING, Size.chars(45), "its client's IP address")
-            .with("listener", Type.STRING, word, "the name of the listener that took it in")
+            .with("listener", Type.STRING, identifierSize, "the name of the listener that took it in")
             .with("tls.name", Type.optionalOf(Type.STRING), new Size(1, Size.chars(256), 0),
                 "the name its client's TLS greeting gave")
             .with("now", Type.TIMESTAMP, Size.ONE, "when it came");
--- a/expression/src/main/java/ledgewall/expression/Size.java
+++ b/expression/src/main/java/ledgewall/expression/Size.java
@@ -4,24 +4,24 @@
  * How large a value can be: characters of a string, bytes, elements of a list or entries of a map; and how large what it
  * holds can be, the keys of a map included. Sums and products end at the largest long instead of wrapping.
  */
-public record Size(long count, Size of, long key) {
+public record Size(long count, Size element, long keyChars) {
     /** Of what has a fixed size. */
     public static final Size ONE = new Size(1, null, 0);
     /** Bytes that an object takes besides what it holds, and a reference to it. */
-    static final long OBJECT = 24;
-    static final long REFERENCE = 8;
+    static final long OBJECT_BYTES = 24;
+    static final long REFERENCE_BYTES = 8;
 
     /** At most so many characters or bytes. */
-    public static Size chars(long most) {
-        return new Size(most, null, 0);
+    public static Size chars(long maxCount) {
+        return new Size(maxCount, null, 0);
     }
 
-    public static Size list(long most, Size element) {
-        return new Size(most, element, 0);
+    public static Size list(long maxCount, Size element) {
+        return new Size(maxCount, element, 0);
     }
 
-    public static Size map(long most, long key, Size value) {
-        return new Size(most, value, key);
+    public static Size map(long maxCount, long keyChars, Size value) {
+        return new Size(maxCount, value, keyChars);
     }
 
     static long plus(long a, long b) {
@@ -36,18 +36,18 @@
     }
 
     /** The larger of two, in each respect. */
-    Size or(Size other) {
-        Size inner = of == null ? other.of : other.of == null ? of : of.or(other.of);
-        return new Size(Math.max(count, other.count), inner, Math.max(key, other.key));
+    Size max(Size other) {
+        Size maxElement = element == null ? other.element : other.element == null ? element : element.max(other.element);
+        return new Size(Math.max(count, other.count), maxElement, Math.max(keyChars, other.keyChars));
     }
 
     /** Steps that it takes to look at all of a value. */
-    long walk(Type type) {
+    long traversalSteps(Type type) {
         return switch (type.kind()) {
             case STRING, BYTES -> Costs.chars(count);
-            case LIST -> plus(1, times(count, of.walk(type.of())));
-            case MAP -> plus(1, times(count, plus(Costs.chars(key), of.walk(type.of()))));
-            case OPTIONAL -> plus(1, of.walk(type.of()));
+            case LIST -> plus(1, times(count, element.traversalSteps(type.element())));
+            case MAP -> plus(1, times(count, plus(Costs.chars(keyChars), element.traversalSteps(type.element()))));
+            case OPTIONAL -> plus(1, element.traversalSteps(type.element()));
             default -> 1;
         };
     }
--- a/expression/src/main/java/ledgewall/expression/Type.java
+++ b/expression/src/main/java/ledgewall/expression/Type.java
@@ -16,11 +16,11 @@
     public static final Type TIMESTAMP = new Type(Kind.TIMESTAMP, null);
 
     private final Kind kind;
-    private final Type of;
+    private final Type element;
 
-    private Type(Kind kind, Type of) {
+    private Type(Kind kind, Type element) {
         this.kind = kind;
-        this.of = of;
+        this.element = element;
     }
 
     public static Type listOf(Type element) {
@@ -42,8 +42,8 @@
     }
 
     /** What a list, a map or an optional holds; null of the others. */
-    public Type of() {
-        return of;
+    public Type element() {
+        return element;
     }
 
     /** Whether values are held as a 64-bit integer: durations in ns, timestamps in ns since 1970. */
@@ -57,25 +57,25 @@
 
     /** Whether values of it hold no others. */
     boolean isScalar() {
-        return of == null;
+        return element == null;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Type type && type.kind == kind && Objects.equals(type.of, of);
+        return other instanceof Type type && type.kind == kind && Objects.equals(type.element, element);
     }
 
     @Override
     public int hashCode() {
-        return 31 * kind.hashCode() + Objects.hashCode(of);
+        return 31 * kind.hashCode() + Objects.hashCode(element);
     }
 
     @Override
     public String toString() {
         return switch (kind) {
-            case LIST -> "list(" + of + ")";
-            case MAP -> "map(string, " + of + ")";
-            case OPTIONAL -> "optional(" + of + ")";
+            case LIST -> "list(" + element + ")";
+            case MAP -> "map(string, " + element + ")";
+            case OPTIONAL -> "optional(" + element + ")";
             default -> kind.name().toLowerCase(java.util.Locale.ROOT);
         };
     }
--- a/expression/src/test/java/ledgewall/expression/ExpressionsTest.java
+++ b/expression/src/test/java/ledgewall/expression/ExpressionEnvironmentTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What expressions say, and what is refused before any request sees it. */
-class ExpressionsTest {
+class ExpressionEnvironmentTest {
     private final Schema schema = Schema.ofRequests();
 
     private Program compile(String source) throws ExpressionException {
-        return new Expressions(schema, Limits.USUAL).compile(source);
+        return new ExpressionEnvironment(schema, Limits.DEFAULT).compile(source);
     }
 
-    private ExpressionException refused(String source) {
+    private ExpressionException assertRejected(String source) {
         return assertThrows(ExpressionException.class, () -> compile(source), source);
     }
 
@@ -36,7 +36,7 @@
         return frame;
     }
 
-    private Frame booking() {
+    private Frame bookingRequest() {
         return request("sql.keyword", "INSERT", "sql.tables", List.of("bookings", "bays"), "user", "kiosk-7", "path", "/v1/bays",
             "comment", Map.of("c", "book-bay", "cluster", "2"), "peer.address", "10.1.2.3", "headers", Map.of("x-lot", "A"),
             "now", 1_764_576_000_000_000_000L, "tls.name", Optional.empty());
@@ -59,12 +59,12 @@
         "-9223372036854775808 < 0 && 0x7f == 127", "0.1 + 0.2 != 0.3 && 0.0 == -0.0 && !(0.0 / 0.0 == 0.0 / 0.0)",
         "{'a': 1, 'b': 2}['b'] == 2 && 'a' in {'a': 1}", "headers['x-lot'] == 'A' || headers['none'] == 'B'",
         "headers['none'] == 'B' || headers['x-lot'] == 'A'", "true || user == 'x' // a comment"})
-    void holds(String source) throws ExpressionException {
+    void evaluatesToTrue(String source) throws ExpressionException {
         Program program = compile(source);
-        assertEquals(true, program.evaluate(booking()), source);
-        Program.Counted counted = program.count(booking());
-        assertEquals(true, counted.value());
-        assertTrue(counted.cost().steps() <= program.cost().steps(), source);
+        assertEquals(true, program.evaluate(bookingRequest()), source);
+        Program.Counted interpreted = program.count(bookingRequest());
+        assertEquals(true, interpreted.value());
+        assertTrue(interpreted.cost().steps() <= program.cost().steps(), source);
     }
 
     @ParameterizedTest
@@ -78,15 +78,15 @@
         "now + duration('2500000h') > now ~ OVERFLOW", "sql.tables[size(user)] == 'x' ~ OUT_OF_RANGE",
         "user.substring(99) == 'x' ~ OUT_OF_RANGE", "tls.name.value() == 'x' ~ ABSENT", "method == 'GET' ~ ABSENT",
         "user.inCidr('10.0.0.0/8') ~ BAD_CONVERSION", "string(bytes(user) + bytes('x')) == '' ~ -"})
-    void anErrorIsAValueAndNoMatch(String source, String kind) throws ExpressionException {
+    void evaluationErrorIsReturnedAndDoesNotMatch(String source, String kind) throws ExpressionException {
         if (kind.equals("-")) {
-            refused(source);
+            assertRejected(source);
             return;
         }
         Program program = compile(source);
-        assertEquals(ErrorKind.valueOf(kind), program.evaluate(booking()));
-        assertEquals(ErrorKind.valueOf(kind), program.count(booking()).value());
-        assertEquals(false, program.matches(booking()));
+        assertEquals(ErrorKind.valueOf(kind), program.evaluate(bookingRequest()));
+        assertEquals(ErrorKind.valueOf(kind), program.count(bookingRequest()).value());
+        assertEquals(false, program.matches(bookingRequest()));
     }
 
     @ParameterizedTest
@@ -106,109 +106,109 @@
         "[1, 'a'] == [1] ~ 1:5: a list holds one type",
         "'\\ud800' == 'x' ~ 1:1: an escape that is no character", "'abc ~ 1:1: unexpected",
         "user.name == 'x' ~ 1:6: string has no part 'name'"})
-    void whatIsWrongIsToldAtItsPlace(String source, String message) {
-        ExpressionException refusal = refused(source);
-        assertTrue(refusal.getMessage().startsWith(message), refusal.getMessage());
-        String[] shown = refusal.show("rules.hcl", source).split("\n");
-        assertEquals(refusal.position().column() - 1 + 2, shown[2].indexOf('^'));
+    void compileErrorHasMessageAndPosition(String source, String message) {
+        ExpressionException exception = assertRejected(source);
+        assertTrue(exception.getMessage().startsWith(message), exception.getMessage());
+        String[] shown = exception.formatWithSource("rules.hcl", source).split("\n");
+        assertEquals(exception.position().column() - 1 + 2, shown[2].indexOf('^'));
     }
 
     @Test
-    void whatTriesToGrowWithoutLimitIsRefusedAtOnce() {
-        String range = "sql.tables";
+    void oversizedExpressionsAreRejectedWithinTheTimeout() {
+        String list = "sql.tables";
         String nested = "true";
         for (int i = 0; i < 12; i++) {
-            nested = range + ".all(v" + i + ", " + nested + ")";
+            nested = list + ".all(v" + i + ", " + nested + ")";
         }
         String doubled = "user";
         for (int i = 0; i < 12; i++) {
             doubled = "(" + doubled + " + " + doubled.replace("(", "").replace(")", "").substring(0, 4) + ").replace('a', user)";
         }
-        List<String> bad = List.of("(".repeat(100_000) + "1" + ")".repeat(100_000), "!".repeat(100_000) + "true",
+        List<String> rejectedSources = List.of("(".repeat(100_000) + "1" + ")".repeat(100_000), "!".repeat(100_000) + "true",
             "-".repeat(10_000) + "1", "x".repeat(1_000_000), "[".repeat(10_000), "true ? ".repeat(10_000), nested,
             doubled + " == ''", "path.matches('((a{100}){100}){100}')", "path.matches('" + "(a*)*".repeat(200) + "')",
             "'a'" + ".replace('a', 'aaaaaaaaaa')".repeat(100) + " == ''", "a.".repeat(900) + "b",
             "1" + " + 1".repeat(1_000) + " == 1",
             "user" + ".trim()".repeat(500) + " == ''", "'\u0000", "\ud800", "true" + " && true".repeat(100_000));
         assertTimeoutPreemptively(Duration.ofSeconds(20), () -> {
-            for (String source : bad) {
-                assertNotNull(refused(source).getMessage());
+            for (String source : rejectedSources) {
+                assertNotNull(assertRejected(source).getMessage());
             }
         });
     }
 
     @Test
-    void namedExpressionsMayDoubleEachOtherWithoutDoublingTheWork() throws ExpressionException {
-        Expressions expressions = new Expressions(schema, Limits.USUAL);
-        expressions.define("n0", "size(user) > 3");
+    void chainedNamedExpressionsAreEvaluatedOnce() throws ExpressionException {
+        ExpressionEnvironment environment = new ExpressionEnvironment(schema, Limits.DEFAULT);
+        environment.define("n0", "size(user) > 3");
         for (int i = 1; i <= 60; i++) {
-            expressions.define("n" + i, "n" + (i - 1) + " && n" + (i - 1));
+            environment.define("n" + i, "n" + (i - 1) + " && n" + (i - 1));
         }
-        Program program = expressions.compile("n60");
+        Program program = environment.compile("n60");
         assertTrue(program.cost().steps() < 500, program.cost().toString());
-        assertEquals(true, program.evaluate(booking()));
-        assertEquals(true, program.count(booking()).value());
-        assertThrows(ExpressionException.class, () -> expressions.define("n1", "true"));
-        assertThrows(ExpressionException.class, () -> expressions.define("later", "later"));
-        Expressions strings = new Expressions(schema, Limits.USUAL);
-        strings.define("s0", "user + user");
+        assertEquals(true, program.evaluate(bookingRequest()));
+        assertEquals(true, program.count(bookingRequest()).value());
+        assertThrows(ExpressionException.class, () -> environment.define("n1", "true"));
+        assertThrows(ExpressionException.class, () -> environment.define("later", "later"));
+        ExpressionEnvironment stringEnvironment = new ExpressionEnvironment(schema, Limits.DEFAULT);
+        stringEnvironment.define("s0", "user + user");
         assertThrows(ExpressionException.class, () -> {
             for (int i = 1; i < 64; i++) {
-                strings.define("s" + i, "s" + (i - 1) + " + s" + (i - 1));
+                stringEnvironment.define("s" + i, "s" + (i - 1) + " + s" + (i - 1));
             }
         });
     }
 
     /** A search that several conditions make is made once; a part that depends on an element stays where it is. */
     @Test
-    void whatSeveralSayAlikeIsComputedOnce() throws ExpressionException {
-        Expressions expressions = new Expressions(schema, Limits.USUAL);
+    void commonSubexpressionsAreSharedWithoutChangingResults() throws ExpressionException {
+        ExpressionEnvironment environment = new ExpressionEnvironment(schema, Limits.DEFAULT);
         String search = "sql.text.matches('(book|cancel)[ (]')";
-        List<Program> apart = List.of(expressions.compile("user == 'x' && " + search), expressions.compile("!" + search),
-            expressions.compile("sql.tables.exists(t, t.contains(user))"),
-                expressions.compile("sql.tables.all(t, t.contains(user))"));
-        List<Program> shared = expressions.share(apart);
+        List<Program> separate = List.of(environment.compile("user == 'x' && " + search), environment.compile("!" + search),
+            environment.compile("sql.tables.exists(t, t.contains(user))"),
+                environment.compile("sql.tables.all(t, t.contains(user))"));
+        List<Program> shared = environment.shareCommonSubexpressions(separate);
         Frame frame = request("user", "x", "sql.text", "SELECT book (7)", "sql.tables", List.of("bays"));
-        for (int i = 0; i < apart.size(); i++) {
-            assertEquals(apart.get(i).evaluate(frame), shared.get(i).evaluate(frame));
-            assertEquals(apart.get(i).evaluate(frame), shared.get(i).count(frame).value());
+        for (int i = 0; i < separate.size(); i++) {
+            assertEquals(separate.get(i).evaluate(frame), shared.get(i).evaluate(frame));
+            assertEquals(separate.get(i).evaluate(frame), shared.get(i).count(frame).value());
         }
         List<String> plan = Reference.plan(shared.get(1));
         assertTrue(plan.get(1).contains("shared part"), plan::toString);
         assertTrue(Reference.plan(shared.get(2)).stream().noneMatch(line -> line.contains("shared")));
         frame.set(schema.attribute("sql.text"), "SELECT 1");
         assertEquals(true, shared.get(1).evaluate(frame));
-        assertEquals(true, shared.get(0).requirements().size() == 1 && apart.get(0).covers(shared.get(0)));
+        assertEquals(true, shared.get(0).requirements().size() == 1 && separate.get(0).covers(shared.get(0)));
     }
 
     /** A frame that goes from one file's expressions to another's must not keep what the first has shared. */
     @Test
-    void aFrameMayBeUsedByTheExpressionsOfTwoFiles() throws ExpressionException {
-        Frame frame = booking();
-        Expressions first = new Expressions(schema, Limits.USUAL);
-        first.define("a", "user == 'kiosk-7'");
-        Expressions second = new Expressions(schema, Limits.USUAL);
-        second.define("a", "user == 'desk'");
-        assertTrue(first.compile("a").matches(frame));
-        assertEquals(false, second.compile("a").matches(frame));
-        assertTrue(first.compile("a").matches(frame));
+    void sharedValuesAreNotReusedAcrossEnvironments() throws ExpressionException {
+        Frame frame = bookingRequest();
+        ExpressionEnvironment firstEnvironment = new ExpressionEnvironment(schema, Limits.DEFAULT);
+        firstEnvironment.define("a", "user == 'kiosk-7'");
+        ExpressionEnvironment secondEnvironment = new ExpressionEnvironment(schema, Limits.DEFAULT);
+        secondEnvironment.define("a", "user == 'desk'");
+        assertTrue(firstEnvironment.compile("a").matches(frame));
+        assertEquals(false, secondEnvironment.compile("a").matches(frame));
+        assertTrue(firstEnvironment.compile("a").matches(frame));
     }
 
     /** Keys and buckets outlive versions: what they say may never change. */
     @Test
-    void hashesStayWhatTheyAre() throws ExpressionException {
-        assertEquals(List.of(PINNED_STRING, PINNED_BYTES, PINNED_INT, PINNED_EMPTY), List.of(
-            compile("hash('kiosk-7')").evaluate(booking()), compile("hash(b'\\x00\\xff')").evaluate(booking()),
-            compile("hash(42)").evaluate(booking()), compile("hash('')").evaluate(booking())));
+    void hashValuesAreStable() throws ExpressionException {
+        assertEquals(List.of(HASH_OF_STRING, HASH_OF_BYTES, HASH_OF_INT, HASH_OF_EMPTY_STRING), List.of(
+            compile("hash('kiosk-7')").evaluate(bookingRequest()), compile("hash(b'\\x00\\xff')").evaluate(bookingRequest()),
+            compile("hash(42)").evaluate(bookingRequest()), compile("hash('')").evaluate(bookingRequest())));
     }
 
-    private static final long PINNED_STRING = -7984907972854531823L;
-    private static final long PINNED_BYTES = -6225377411875435533L;
-    private static final long PINNED_INT = -3051478158665635896L;
-    private static final long PINNED_EMPTY = 3244421341483603138L;
+    private static final long HASH_OF_STRING = -7984907972854531823L;
+    private static final long HASH_OF_BYTES = -6225377411875435533L;
+    private static final long HASH_OF_INT = -3051478158665635896L;
+    private static final long HASH_OF_EMPTY_STRING = 3244421341483603138L;
 
     @Test
-    void anAttributeBeyondItsSizeIsAnErrorAndAnotherTypeAFault() throws ExpressionException {
+    void oversizedAttributeIsAnErrorAndWrongTypeThrows() throws ExpressionException {
         Frame frame = request("user", "x".repeat(129));
         assertEquals(ErrorKind.TOO_LARGE, compile("user == 'x'").evaluate(frame));
         assertThrows(IllegalArgumentException.class, () -> frame.set(schema.attribute("user"), 5L));
@@ -217,11 +217,11 @@
     }
 
     @Test
-    void aFrameKeepsNothingOfTheRequestBefore() throws ExpressionException {
-        Expressions expressions = new Expressions(schema, Limits.USUAL);
-        expressions.define("kiosk", "user.startsWith('kiosk')");
-        Program program = expressions.compile("kiosk");
-        Frame frame = booking();
+    void clearedFrameKeepsNoSharedValues() throws ExpressionException {
+        ExpressionEnvironment environment = new ExpressionEnvironment(schema, Limits.DEFAULT);
+        environment.define("kiosk", "user.startsWith('kiosk')");
+        Program program = environment.compile("kiosk");
+        Frame frame = bookingRequest();
         assertTrue(program.matches(frame));
         frame.clear();
         frame.set(schema.attribute("user"), "desk");
--- a/expression/src/test/java/ledgewall/expression/Generator.java
+++ b/expression/src/test/java/ledgewall/expression/ExpressionGenerator.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 
 /** Random expressions that are mostly well typed, random damage to their sources, and random requests. */
-final class Generator {
+final class ExpressionGenerator {
     static final Schema SCHEMA = new Schema()
         .with("flag", Type.BOOL, Size.ONE, "")
         .with("count", Type.INT, Size.ONE, "")
@@ -32,42 +32,42 @@
 
     private final SplittableRandom random;
     private final List<String> variables = new ArrayList<>();
-    private final List<Type> types = new ArrayList<>();
+    private final List<Type> variableTypes = new ArrayList<>();
 
-    Generator(SplittableRandom random) {
+    ExpressionGenerator(SplittableRandom random) {
         this.random = random;
     }
 
-    private <T> T any(List<T> list) {
+    private <T> T pick(List<T> list) {
         return list.get(random.nextInt(list.size()));
     }
 
-    private boolean chance(int of) {
-        return random.nextInt(of) == 0;
+    private boolean oneIn(int n) {
+        return random.nextInt(n) == 0;
     }
 
-    Type type() {
+    Type randomType() {
         return switch (random.nextInt(10)) {
-            case 0 -> Type.listOf(any(SCALARS));
-            case 1 -> Type.mapOf(any(SCALARS));
+            case 0 -> Type.listOf(pick(SCALARS));
+            case 1 -> Type.mapOf(pick(SCALARS));
             case 2 -> Type.optionalOf(Type.STRING);
-            default -> any(SCALARS);
+            default -> pick(SCALARS);
         };
     }
 
     String expression(Type type, int depth) {
-        if (chance(60)) {
-            return expression(type(), depth - 1); // a type error, most likely
+        if (oneIn(60)) {
+            return expression(randomType(), depth - 1); // a type error, most likely
         }
-        List<String> fitting = new ArrayList<>();
+        List<String> candidates = new ArrayList<>();
         for (int i = 0; i < variables.size(); i++) {
-            if (types.get(i).equals(type)) {
-                fitting.add(variables.get(i));
+            if (variableTypes.get(i).equals(type)) {
+                candidates.add(variables.get(i));
             }
         }
-        SCHEMA.attributes().stream().filter(a -> a.type().equals(type)).forEach(a -> fitting.add(a.name()));
-        if (depth <= 0 || chance(5)) {
-            return fitting.isEmpty() || chance(3) ? literal(type) : any(fitting);
+        SCHEMA.attributes().stream().filter(a -> a.type().equals(type)).forEach(a -> candidates.add(a.name()));
+        if (depth <= 0 || oneIn(5)) {
+            return candidates.isEmpty() || oneIn(3) ? literal(type) : pick(candidates);
         }
         return switch (random.nextInt(8)) {
             case 0 -> "(" + expression(Type.BOOL, depth - 1) + " ? " + expression(type, depth - 1) + " : "
@@ -75,81 +75,81 @@
             case 1 -> "[" + expression(type, depth - 1) + ", " + expression(type, depth - 1) + "]["
                 + expression(Type.INT, depth - 2) + "]";
             case 2 -> "{'k': " + expression(type, depth - 1) + "}[" + expression(Type.STRING, depth - 2) + "]";
-            default -> ofType(type, depth - 1);
+            default -> operationOfType(type, depth - 1);
         };
     }
 
-    private String ofType(Type type, int depth) {
+    private String operationOfType(Type type, int depth) {
         return switch (type.kind()) {
             case BOOL -> bool(depth);
             case INT -> integer(depth);
-            case DOUBLE -> chance(2) ? "double(" + expression(chance(2) ? Type.INT : Type.STRING, depth) + ")"
-                : operation(Type.DOUBLE, depth, "+", "-", "*", "/");
+            case DOUBLE -> oneIn(2) ? "double(" + expression(oneIn(2) ? Type.INT : Type.STRING, depth) + ")"
+                : binaryOperation(Type.DOUBLE, depth, "+", "-", "*", "/");
             case STRING -> string(depth);
             case BYTES -> "bytes(" + expression(Type.STRING, depth) + ")";
-            case DURATION -> chance(2) ? "duration(" + expression(Type.STRING, depth) + ")"
-                : chance(2) ? "(" + expression(Type.TIMESTAMP, depth) + " - " + expression(Type.TIMESTAMP, depth) + ")"
-                : operation(Type.DURATION, depth, "+", "-");
-            case TIMESTAMP -> chance(2) ? "timestamp(" + expression(Type.STRING, depth) + ")"
+            case DURATION -> oneIn(2) ? "duration(" + expression(Type.STRING, depth) + ")"
+                : oneIn(2) ? "(" + expression(Type.TIMESTAMP, depth) + " - " + expression(Type.TIMESTAMP, depth) + ")"
+                : binaryOperation(Type.DURATION, depth, "+", "-");
+            case TIMESTAMP -> oneIn(2) ? "timestamp(" + expression(Type.STRING, depth) + ")"
                 : "(" + expression(Type.TIMESTAMP, depth) + " + " + expression(Type.DURATION, depth) + ")";
             case LIST -> list(type, depth);
-            case MAP -> "{'a': " + expression(type.of(), depth) + ", 'b': " + expression(type.of(), depth) + "}";
-            case OPTIONAL -> chance(2) ? expression(Type.mapOf(type.of()), depth) + "[?" + expression(Type.STRING, depth) + "]"
+            case MAP -> "{'a': " + expression(type.element(), depth) + ", 'b': " + expression(type.element(), depth) + "}";
+            case OPTIONAL -> oneIn(2) ? expression(Type.mapOf(type.element()), depth) + "[?" + expression(Type.STRING, depth) + "]"
                 : expression(Type.STRING, depth) + ".extract('" + REGEXES[random.nextInt(REGEXES.length)] + "')";
         };
     }
 
-    private String operation(Type type, int depth, String... signs) {
-        return "(" + expression(type, depth) + " " + signs[random.nextInt(signs.length)] + " " + expression(type, depth) + ")";
+    private String binaryOperation(Type type, int depth, String... operators) {
+        return "(" + expression(type, depth) + " " + operators[random.nextInt(operators.length)] + " " + expression(type, depth) + ")";
     }
 
     private String bool(int depth) {
-        Type type = any(SCALARS);
+        Type type = pick(SCALARS);
         return switch (random.nextInt(12)) {
             case 0 -> "!" + expression(Type.BOOL, depth);
-            case 1, 2 -> operation(Type.BOOL, depth, "&&", "||");
-            case 3 -> operation(type == Type.BOOL ? Type.INT : type, depth, "<", "<=", ">", ">=");
-            case 4 -> operation(type(), depth, "==", "!=");
+            case 1, 2 -> binaryOperation(Type.BOOL, depth, "&&", "||");
+            case 3 -> binaryOperation(type == Type.BOOL ? Type.INT : type, depth, "<", "<=", ">", ">=");
+            case 4 -> binaryOperation(randomType(), depth, "==", "!=");
             case 5 -> "(" + expression(type, depth) + " in " + expression(Type.listOf(type), depth) + ")";
             case 6 -> "(" + expression(Type.STRING, depth) + " in headers)";
-            case 7 -> expression(Type.STRING, depth) + "." + any(List.of("startsWith", "endsWith", "contains")) + "("
+            case 7 -> expression(Type.STRING, depth) + "." + pick(List.of("startsWith", "endsWith", "contains")) + "("
                 + expression(Type.STRING, depth) + ")";
             case 8 -> expression(Type.STRING, depth) + ".matches(r'" + REGEXES[random.nextInt(REGEXES.length)] + "')";
-            case 9 -> expression(Type.STRING, depth) + ".inCidr('" + any(List.of("10.0.0.0/8", "::/0", "127.0.0.1")) + "')";
+            case 9 -> expression(Type.STRING, depth) + ".inCidr('" + pick(List.of("10.0.0.0/8", "::/0", "127.0.0.1")) + "')";
             case 10 -> expression(Type.optionalOf(Type.STRING), depth) + ".hasValue()";
-            default -> loop(any(List.of("all", "exists", "exists_one")), type, Type.BOOL, depth);
+            default -> comprehension(pick(List.of("all", "exists", "exists_one")), type, Type.BOOL, depth);
         };
     }
 
-    private String loop(String macro, Type element, Type result, int depth) {
-        String range = expression(Type.listOf(element), depth);
+    private String comprehension(String macro, Type element, Type result, int depth) {
+        String list = expression(Type.listOf(element), depth);
         String name = "v" + variables.size();
         variables.add(name);
-        types.add(element);
+        variableTypes.add(element);
         String body = expression(result, depth);
         variables.remove(variables.size() - 1);
-        types.remove(types.size() - 1);
-        return range + "." + macro + "(" + name + ", " + body + ")";
+        variableTypes.remove(variableTypes.size() - 1);
+        return list + "." + macro + "(" + name + ", " + body + ")";
     }
 
     private String integer(int depth) {
         return switch (random.nextInt(9)) {
-            case 0 -> "size(" + expression(any(List.of(Type.STRING, Type.BYTES, Type.listOf(Type.INT))), depth) + ")";
-            case 1 -> "int(" + expression(chance(2) ? Type.STRING : Type.DOUBLE, depth) + ")";
-            case 2 -> "hash(" + expression(any(List.of(Type.STRING, Type.BYTES, Type.INT)), depth) + ")";
+            case 0 -> "size(" + expression(pick(List.of(Type.STRING, Type.BYTES, Type.listOf(Type.INT))), depth) + ")";
+            case 1 -> "int(" + expression(oneIn(2) ? Type.STRING : Type.DOUBLE, depth) + ")";
+            case 2 -> "hash(" + expression(pick(List.of(Type.STRING, Type.BYTES, Type.INT)), depth) + ")";
             case 3 -> "bucket(" + expression(Type.STRING, depth) + ", " + expression(Type.INT, depth) + ")";
-            case 4 -> expression(Type.TIMESTAMP, depth) + "." + any(List.of("getHours", "getDayOfWeek", "getFullYear")) + "()";
+            case 4 -> expression(Type.TIMESTAMP, depth) + "." + pick(List.of("getHours", "getDayOfWeek", "getFullYear")) + "()";
             case 5 -> expression(Type.DURATION, depth) + ".getSeconds()";
-            case 6 -> any(List.of("min", "max")) + "(" + expression(Type.INT, depth) + ", " + expression(Type.INT, depth) + ")";
+            case 6 -> pick(List.of("min", "max")) + "(" + expression(Type.INT, depth) + ", " + expression(Type.INT, depth) + ")";
             case 7 -> expression(Type.STRING, depth) + ".indexOf(" + expression(Type.STRING, depth) + ")";
-            default -> operation(Type.INT, depth, "+", "-", "*", "/", "%");
+            default -> binaryOperation(Type.INT, depth, "+", "-", "*", "/", "%");
         };
     }
 
     private String string(int depth) {
         return switch (random.nextInt(9)) {
-            case 0 -> "string(" + expression(any(SCALARS), depth) + ")";
-            case 1 -> expression(Type.STRING, depth) + any(List.of(".lowerAscii()", ".upperAscii()", ".trim()"));
+            case 0 -> "string(" + expression(pick(SCALARS), depth) + ")";
+            case 1 -> expression(Type.STRING, depth) + pick(List.of(".lowerAscii()", ".upperAscii()", ".trim()"));
             case 2 -> expression(Type.STRING, depth) + ".substring(" + expression(Type.INT, depth) + ")";
             case 3 -> expression(Type.STRING, depth) + ".replace(" + expression(Type.STRING, depth) + ", "
                 + expression(Type.STRING, depth) + ")";
@@ -157,47 +157,47 @@
             case 5 -> "headers[" + expression(Type.STRING, depth) + "]";
             case 6 -> "headers[?" + expression(Type.STRING, depth) + "].orValue(" + expression(Type.STRING, depth) + ")";
             case 7 -> expression(Type.optionalOf(Type.STRING), depth) + ".value()";
-            default -> operation(Type.STRING, depth, "+");
+            default -> binaryOperation(Type.STRING, depth, "+");
         };
     }
 
     private String list(Type type, int depth) {
         return switch (random.nextInt(5)) {
-            case 0 -> loop("filter", type.of(), Type.BOOL, depth);
-            case 1 -> loop("map", any(SCALARS), type.of(), depth);
-            case 2 -> operation(type, depth, "+");
-            case 3 -> type.of() == Type.STRING ? expression(Type.STRING, depth) + ".split(" + expression(Type.STRING, depth) + ")"
+            case 0 -> comprehension("filter", type.element(), Type.BOOL, depth);
+            case 1 -> comprehension("map", pick(SCALARS), type.element(), depth);
+            case 2 -> binaryOperation(type, depth, "+");
+            case 3 -> type.element() == Type.STRING ? expression(Type.STRING, depth) + ".split(" + expression(Type.STRING, depth) + ")"
                 : literal(type);
-            default -> "[" + expression(type.of(), depth) + "]";
+            default -> "[" + expression(type.element(), depth) + "]";
         };
     }
 
     private String literal(Type type) {
         return switch (type.kind()) {
-            case BOOL -> chance(2) ? "true" : "false";
+            case BOOL -> oneIn(2) ? "true" : "false";
             case INT -> Long.toString(LONGS[random.nextInt(LONGS.length)]);
-            case DOUBLE -> any(List.of("0.0", "-1.5", "1e300", "2.0", "0.1"));
-            case STRING -> "'" + any(List.of("", "a", "facts", "x-lot", "10.0.0.1", "-7", "é", "\\u0000", "\\n", "90m")) + "'";
-            case BYTES -> "b'" + any(List.of("", "a", "\\xff\\x00", "é")) + "'";
-            case DURATION -> "duration('" + any(List.of("1s", "-90m", "250ms", "1h30m")) + "')";
-            case TIMESTAMP -> "timestamp('" + any(List.of("2026-12-01T08:00:00Z", "1970-01-01T00:00:00Z")) + "')";
-            case LIST -> "[" + literal(type.of()) + ", " + literal(type.of()) + "]";
-            case MAP -> "{'a': " + literal(type.of()) + "}";
+            case DOUBLE -> pick(List.of("0.0", "-1.5", "1e300", "2.0", "0.1"));
+            case STRING -> "'" + pick(List.of("", "a", "facts", "x-lot", "10.0.0.1", "-7", "é", "\\u0000", "\\n", "90m")) + "'";
+            case BYTES -> "b'" + pick(List.of("", "a", "\\xff\\x00", "é")) + "'";
+            case DURATION -> "duration('" + pick(List.of("1s", "-90m", "250ms", "1h30m")) + "')";
+            case TIMESTAMP -> "timestamp('" + pick(List.of("2026-12-01T08:00:00Z", "1970-01-01T00:00:00Z")) + "')";
+            case LIST -> "[" + literal(type.element()) + ", " + literal(type.element()) + "]";
+            case MAP -> "{'a': " + literal(type.element()) + "}";
             case OPTIONAL -> "headers[?'a']";
         };
     }
 
     /** Leaves out, doubles, swaps or puts in something. */
-    String damaged(String source) {
+    String corrupt(String source) {
         StringBuilder text = new StringBuilder(source);
-        for (int times = random.nextInt(3) + 1; times > 0 && text.length() > 0; times--) {
-            int at = random.nextInt(text.length());
-            int end = Math.min(text.length(), at + random.nextInt(6) + 1);
+        for (int edits = random.nextInt(3) + 1; edits > 0 && text.length() > 0; edits--) {
+            int start = random.nextInt(text.length());
+            int end = Math.min(text.length(), start + random.nextInt(6) + 1);
             switch (random.nextInt(4)) {
-                case 0 -> text.delete(at, end);
-                case 1 -> text.insert(at, text.substring(at, end));
-                case 2 -> text.setCharAt(at, (char) random.nextInt(chance(4) ? 0x10000 : 128));
-                default -> text.insert(at, any(List.of("(", ")", "[", "]", "?", ":", ".", "&&", "!", "-", "'", "\\", "in", "1",
+                case 0 -> text.delete(start, end);
+                case 1 -> text.insert(start, text.substring(start, end));
+                case 2 -> text.setCharAt(start, (char) random.nextInt(oneIn(4) ? 0x10000 : 128));
+                default -> text.insert(start, pick(List.of("(", ")", "[", "]", "?", ":", ".", "&&", "!", "-", "'", "\\", "in", "1",
                     "{")));
             }
         }
@@ -205,45 +205,45 @@
     }
 
     /** A request that lacks some attributes, and goes beyond the schema now and then. */
-    Frame request() {
+    Frame randomRequest() {
         Frame frame = new Frame(SCHEMA);
         for (Schema.Attribute attribute : SCHEMA.attributes()) {
-            if (!chance(12)) {
-                frame.set(attribute, value(attribute.type(), attribute.size()));
+            if (!oneIn(12)) {
+                frame.set(attribute, randomValue(attribute.type(), attribute.size()));
             }
         }
         return frame;
     }
 
-    private Object value(Type type, Size size) {
+    private Object randomValue(Type type, Size size) {
         return switch (type.kind()) {
-            case BOOL -> chance(2);
-            case INT, DURATION, TIMESTAMP -> chance(2) ? LONGS[random.nextInt(LONGS.length)] : random.nextLong(-1_000, 1_000);
+            case BOOL -> oneIn(2);
+            case INT, DURATION, TIMESTAMP -> oneIn(2) ? LONGS[random.nextInt(LONGS.length)] : random.nextLong(-1_000, 1_000);
             case DOUBLE -> DOUBLES[random.nextInt(DOUBLES.length)];
-            case STRING -> text(size.count());
-            case BYTES -> Bytes.of(new byte[random.nextInt((int) size.count() + (chance(30) ? 5 : 1))]);
+            case STRING -> randomText(size.count());
+            case BYTES -> Bytes.of(new byte[random.nextInt((int) size.count() + (oneIn(30) ? 5 : 1))]);
             case LIST -> {
                 List<Object> list = new ArrayList<>();
                 for (int i = random.nextInt((int) size.count() + 1); i > 0; i--) {
-                    list.add(value(type.of(), size.of()));
+                    list.add(randomValue(type.element(), size.element()));
                 }
                 yield list;
             }
             case MAP -> {
                 Map<String, Object> map = new LinkedHashMap<>();
                 for (int i = random.nextInt((int) size.count() + 1); i > 0; i--) {
-                    map.put(text(size.key()), value(type.of(), size.of()));
+                    map.put(randomText(size.keyChars()), randomValue(type.element(), size.element()));
                 }
                 yield map;
             }
-            case OPTIONAL -> chance(3) ? Optional.empty() : Optional.of(value(type.of(), size.of()));
+            case OPTIONAL -> oneIn(3) ? Optional.empty() : Optional.of(randomValue(type.element(), size.element()));
         };
     }
 
-    private String text(long most) {
+    private String randomText(long maxChars) {
         String text = TEXTS[random.nextInt(TEXTS.length)];
-        int length = chance(3) ? (int) most : random.nextInt((int) most + 1);
-        return text.length() <= most && chance(2) ? text
-            : "ab,".repeat(length / 3 + 1).substring(0, length) + (chance(60) ? "beyond" : "");
+        int length = oneIn(3) ? (int) maxChars : random.nextInt((int) maxChars + 1);
+        return text.length() <= maxChars && oneIn(2) ? text
+            : "ab,".repeat(length / 3 + 1).substring(0, length) + (oneIn(60) ? "beyond" : "");
     }
 }
--- a/expression/src/test/java/ledgewall/expression/ReferenceTest.java
+++ b/expression/src/test/java/ledgewall/expression/ReferenceTest.java
@@ -12,11 +12,11 @@
 /** The reference page says what the code has: each line of its tables, no more and no less. */
 class ReferenceTest {
     @Test
-    void thePageIsWhatTheCodeHas() throws IOException {
-        List<String> wanted = new ArrayList<>(Reference.attributes(Schema.ofRequests()));
-        wanted.addAll(Reference.functions());
-        List<String> written = Files.readAllLines(Path.of("docs/expression-reference.md")).stream()
-            .filter(line -> wanted.contains(line) || line.matches("\\| (function|method|operator) \\| .*")).toList();
-        assertEquals(String.join("\n", wanted), String.join("\n", written));
+    void pageTablesMatchTheCode() throws IOException {
+        List<String> expectedRows = new ArrayList<>(Reference.attributeRows(Schema.ofRequests()));
+        expectedRows.addAll(Reference.functionRows());
+        List<String> pageRows = Files.readAllLines(Path.of("docs/expression-reference.md")).stream()
+            .filter(line -> expectedRows.contains(line) || line.matches("\\| (function|method|operator) \\| .*")).toList();
+        assertEquals(String.join("\n", expectedRows), String.join("\n", pageRows));
     }
 }
