--- a/expression/src/main/java/ledgewall/expression/CanonicalForm.java
+++ b/expression/src/main/java/ledgewall/expression/CanonicalForm.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** What an expression says, whatever its places, brackets and names of elements: two that say the same give one text. */
+/**
+ * A text form of an expression without positions, brackets and the names of comprehension variables: expressions that differ in
+ * nothing else have equal texts.
+ */
 final class CanonicalForm {
     private CanonicalForm() {
     }
@@ -22,24 +25,24 @@
             return "$" + boundSlots.indexOf(variable.slot());
         } else if (node instanceof Node.SharedExpression shared) {
             return of(shared.body(), boundSlots);
-        } else if (node instanceof Node.Comprehension loop) {
-            String range = of(loop.list(), boundSlots);
+        } else if (node instanceof Node.Comprehension comprehension) {
+            String range = of(comprehension.list(), boundSlots);
             List<Integer> boundInBody = new ArrayList<>(boundSlots);
-            boundInBody.add(loop.slot());
-            return loop.macro() + "(" + range + "," + of(loop.body(), boundInBody) + ")";
+            boundInBody.add(comprehension.slot());
+            return comprehension.macro() + "(" + range + "," + of(comprehension.body(), boundInBody) + ")";
         }
-        String parts = Cost.children(node).stream().map(part -> of(part, boundSlots)).collect(Collectors.joining(","));
+        String children = Cost.children(node).stream().map(child -> of(child, boundSlots)).collect(Collectors.joining(","));
         if (node instanceof Node.Call call) {
-            return call.function().form() + call.function().name() + "(" + parts + ")";
-        } else if (node instanceof Node.Logical logic) {
-            return (logic.isConjunction() ? "all(" : "any(") + parts + ")";
+            return call.function().form() + call.function().name() + "(" + children + ")";
+        } else if (node instanceof Node.Logical logical) {
+            return (logical.isConjunction() ? "all(" : "any(") + children + ")";
         } else if (node instanceof Node.MapLiteral map) {
-            return "map" + map.keys().stream().map(CanonicalForm::encode).toList() + "(" + parts + ")";
+            return "map" + map.keys().stream().map(CanonicalForm::encode).toList() + "(" + children + ")";
         }
-        return (node instanceof Node.Conditional ? "if(" : "list(") + parts + ")";
+        return (node instanceof Node.Conditional ? "if(" : "list(") + children + ")";
     }
 
-    /** With its length before it, so that no text passes for the signs around another. */
+    /** Encodes a constant or a map key. A text has its length in front, so that its contents cannot be read as syntax. */
     private static String encode(Object value) {
         if (value instanceof Bytes bytes) {
             return java.util.Arrays.toString(bytes.array());
--- a/expression/src/main/java/ledgewall/expression/CommonSubexpressions.java
+++ b/expression/src/main/java/ledgewall/expression/CommonSubexpressions.java
@@ -7,11 +7,12 @@
 import java.util.Set;
 
 /**
- * Finds what several expressions say alike and has it computed once for a request. Only what is dear enough to be worth a
- * look into the frame, and what depends on no comprehension around it.
+ * Finds subexpressions that several expressions have in common and replaces them by shared nodes, which are evaluated once for a
+ * request. Only those that cost more than reading a value from the frame are shared, and only those that do not depend on the
+ * variable of an enclosing comprehension.
  */
 final class CommonSubexpressions {
-    /** Steps from which a part is worth remembering: a regular expression, a search, a walk over a list. */
+    /** Minimum cost in steps of a shared subexpression: a regular expression, a search or an iteration over a list. */
     private static final long MIN_STEPS = 32;
 
     private final Map<String, Integer> occurrences = new HashMap<>();
@@ -23,12 +24,12 @@
         nodes.forEach(node -> countOccurrences(node, new HashSet<>()));
     }
 
-    /** Slots that are taken, those before the first one included. */
+    /** The number of shared slots in use, those before the first slot included. */
     int slotCount() {
         return firstSlot + sharedByForm.size();
     }
 
-    /** Counts each part once for an expression. */
+    /** Counts each subexpression once for an expression, even if it occurs several times in it. */
     private void countOccurrences(Node node, Set<String> seen) {
         if (isWorthSharing(node)) {
             String canonicalForm = CanonicalForm.of(node);
@@ -36,7 +37,7 @@
                 occurrences.merge(canonicalForm, 1, Integer::sum);
             }
         }
-        Cost.children(node).forEach(part -> countOccurrences(part, seen));
+        Cost.children(node).forEach(child -> countOccurrences(child, seen));
     }
 
     private static boolean isWorthSharing(Node node) {
@@ -45,24 +46,25 @@
         return isComputation && Cost.of(node).steps() >= MIN_STEPS && hasNoFreeVariables(node, new HashSet<>());
     }
 
+    /** Whether the node uses only variables of the given slots and of comprehensions inside it. */
     private static boolean hasNoFreeVariables(Node node, Set<Integer> boundSlots) {
         if (node instanceof Node.Variable variable) {
             return boundSlots.contains(variable.slot());
         }
         Set<Integer> boundInBody = boundSlots;
-        if (node instanceof Node.Comprehension loop) {
+        if (node instanceof Node.Comprehension comprehension) {
             boundInBody = new HashSet<>(boundSlots);
-            boundInBody.add(loop.slot());
+            boundInBody.add(comprehension.slot());
         }
-        for (Node part : Cost.children(node)) {
-            if (!hasNoFreeVariables(part, boundInBody)) {
+        for (Node child : Cost.children(node)) {
+            if (!hasNoFreeVariables(child, boundInBody)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** The expression with those parts shared that others have too. */
+    /** Returns the expression with every subexpression replaced by a shared node that another expression has too. */
     Node share(Node node) {
         if (isWorthSharing(node)) {
             String canonicalForm = CanonicalForm.of(node);
@@ -75,19 +77,20 @@
                 return sharedNode;
             }
         }
-        if (node instanceof Node.Logical logic) {
-            return new Node.Logical(logic.isConjunction(), share(logic.operands()), logic.position());
+        if (node instanceof Node.Logical logical) {
+            return new Node.Logical(logical.isConjunction(), share(logical.operands()), logical.position());
         } else if (node instanceof Node.Conditional conditional) {
-            return new Node.Conditional(share(conditional.condition()), share(conditional.whenTrue()), share(conditional.whenFalse()), conditional.type(), conditional.size(), conditional.position());
+            return new Node.Conditional(share(conditional.condition()), share(conditional.whenTrue()),
+                share(conditional.whenFalse()), conditional.type(), conditional.size(), conditional.position());
         } else if (node instanceof Node.Call call) {
             return new Node.Call(call.function(), share(call.arguments()), call.type(), call.size(), call.position());
         } else if (node instanceof Node.ListLiteral list) {
             return new Node.ListLiteral(share(list.elements()), list.type(), list.size(), list.position());
         } else if (node instanceof Node.MapLiteral map) {
             return new Node.MapLiteral(map.keys(), share(map.values()), map.type(), map.size(), map.position());
-        } else if (node instanceof Node.Comprehension loop) {
-            return new Node.Comprehension(loop.macro(), share(loop.list()), loop.slot(), share(loop.body()), loop.type(), loop.size(),
-                loop.position());
+        } else if (node instanceof Node.Comprehension comprehension) {
+            return new Node.Comprehension(comprehension.macro(), share(comprehension.list()), comprehension.slot(),
+                share(comprehension.body()), comprehension.type(), comprehension.size(), comprehension.position());
         }
         return node;
     }
--- a/expression/src/main/java/ledgewall/expression/Cost.java
+++ b/expression/src/main/java/ledgewall/expression/Cost.java
@@ -5,10 +5,11 @@
 import java.util.Set;
 
 /**
- * The bound on one evaluation: no request makes it take more.
+ * The cost of one evaluation: the upper bound computed at load, which holds for every request, or the cost that the interpreter
+ * counted. Sums and products saturate at {@link Long#MAX_VALUE}.
  *
- * @param steps each part evaluated is one, and what functions look at is counted beside it
- * @param bytes what is allocated
+ * @param steps one for each node evaluated, plus the steps that functions take to read their arguments
+ * @param bytes bytes allocated
  */
 public record Cost(long steps, long bytes) {
     static final Cost ZERO = new Cost(0, 0);
@@ -26,20 +27,22 @@
         return new Cost(Math.max(steps, other.steps), Math.max(bytes, other.bytes));
     }
 
-    /** What evaluating a node takes at most; each shared one that it needs is counted once, where it is asked for first. */
+    /** Returns the upper bound for a node. A shared expression is counted in full once, where it is first evaluated. */
     static Cost of(Node node) {
         return of(node, new HashSet<>());
     }
 
     private static Cost of(Node node, Set<Integer> countedSlots) {
-        if (node instanceof Node.Logical logic) {
-            return sum(logic.operands(), countedSlots).plus(ONE_STEP);
+        if (node instanceof Node.Logical logical) {
+            return sum(logical.operands(), countedSlots).plus(ONE_STEP);
         }
-        if (node instanceof Node.Conditional choice) {
-            // a shared one in either branch is counted before them: whichever asks first pays
-            Cost condition = of(choice.condition(), countedSlots);
-            Cost sharedCost = ofSharedOnFirstUse(choice.whenTrue(), countedSlots).plus(ofSharedOnFirstUse(choice.whenFalse(), countedSlots));
-            return condition.plus(sharedCost).plus(of(choice.whenTrue(), countedSlots).max(of(choice.whenFalse(), countedSlots))).plus(ONE_STEP);
+        if (node instanceof Node.Conditional conditional) {
+            // Only one branch runs, so a shared expression first used in either is counted outside the maximum of both.
+            Cost condition = of(conditional.condition(), countedSlots);
+            Cost sharedCost = ofSharedOnFirstUse(conditional.whenTrue(), countedSlots)
+                .plus(ofSharedOnFirstUse(conditional.whenFalse(), countedSlots));
+            return condition.plus(sharedCost)
+                .plus(of(conditional.whenTrue(), countedSlots).max(of(conditional.whenFalse(), countedSlots))).plus(ONE_STEP);
         }
         if (node instanceof Node.Call call) {
             List<Size> sizes = call.arguments().stream().map(Node::size).toList();
@@ -51,11 +54,12 @@
         if (node instanceof Node.MapLiteral map) {
             return sum(map.values(), countedSlots).plus(ofContainer(map.values().size()));
         }
-        if (node instanceof Node.Comprehension loop) {
-            Cost sharedCost = ofSharedOnFirstUse(loop.body(), countedSlots);
-            long count = loop.list().size().count();
-            return of(loop.list(), countedSlots).plus(sharedCost).plus(of(loop.body(), countedSlots).plus(ONE_STEP).times(count))
-                .plus(ofComprehension(loop.macro(), count));
+        if (node instanceof Node.Comprehension comprehension) {
+            Cost sharedCost = ofSharedOnFirstUse(comprehension.body(), countedSlots);
+            long count = comprehension.list().size().count();
+            return of(comprehension.list(), countedSlots).plus(sharedCost)
+                .plus(of(comprehension.body(), countedSlots).plus(ONE_STEP).times(count))
+                .plus(ofComprehension(comprehension.macro(), count));
         }
         if (node instanceof Node.SharedExpression shared) {
             return countedSlots.add(shared.slot()) ? of(shared.body(), countedSlots).plus(ONE_STEP) : ONE_STEP;
@@ -63,31 +67,32 @@
         return ONE_STEP;
     }
 
-    /** The shared ones below a node that were not counted yet: they count as if asked for before it. */
+    /** Sums the shared expressions under a node that are not in {@code countedSlots} yet, and adds them to it. */
     private static Cost ofSharedOnFirstUse(Node node, Set<Integer> countedSlots) {
         if (node instanceof Node.SharedExpression) {
             return of(node, countedSlots);
         }
         Cost total = ZERO;
-        for (Node part : children(node)) {
-            total = total.plus(ofSharedOnFirstUse(part, countedSlots));
+        for (Node child : children(node)) {
+            total = total.plus(ofSharedOnFirstUse(child, countedSlots));
         }
         return total;
     }
 
+    /** The nodes directly under a node; the body of a shared expression is not among them. */
     static List<Node> children(Node node) {
-        if (node instanceof Node.Logical logic) {
-            return logic.operands();
-        } else if (node instanceof Node.Conditional choice) {
-            return List.of(choice.condition(), choice.whenTrue(), choice.whenFalse());
+        if (node instanceof Node.Logical logical) {
+            return logical.operands();
+        } else if (node instanceof Node.Conditional conditional) {
+            return List.of(conditional.condition(), conditional.whenTrue(), conditional.whenFalse());
         } else if (node instanceof Node.Call call) {
             return call.arguments();
         } else if (node instanceof Node.ListLiteral list) {
             return list.elements();
         } else if (node instanceof Node.MapLiteral map) {
             return map.values();
-        } else if (node instanceof Node.Comprehension loop) {
-            return List.of(loop.list(), loop.body());
+        } else if (node instanceof Node.Comprehension comprehension) {
+            return List.of(comprehension.list(), comprehension.body());
         }
         return List.of();
     }
@@ -100,15 +105,17 @@
         return total;
     }
 
-    /** What a call takes beside its arguments, from bounds or from actual sizes alike. */
+    /** The cost of a call without evaluating its arguments, from either maximum or actual sizes. */
     static Cost ofCall(Function function, List<Size> arguments, Size result) {
         return new Cost(Size.plus(1, function.stepCost().of(arguments, result)), function.byteCost().of(arguments, result));
     }
 
+    /** The cost of building a list or a map of so many entries, without evaluating them. */
     static Cost ofContainer(long count) {
         return new Cost(Size.plus(1, count), Costs.container(count));
     }
 
+    /** The cost of a comprehension without its list and its body. */
     static Cost ofComprehension(Node.Macro macro, long count) {
         boolean buildsList = macro == Node.Macro.MAP || macro == Node.Macro.FILTER;
         return new Cost(1, buildsList ? Costs.container(count) : 0);
--- a/expression/src/main/java/ledgewall/expression/ErrorKind.java
+++ b/expression/src/main/java/ledgewall/expression/ErrorKind.java
@@ -1,18 +1,18 @@
 package ledgewall.expression;
 
-/** What can still go wrong with a value once an expression has been accepted. An error is a value: see the reference. */
+/** Errors that evaluating a compiled expression can return. An error is returned as a value and is never thrown. */
 public enum ErrorKind {
-    /** An integer, duration or timestamp beyond 64 bits. */
+    /** An integer, duration or timestamp that does not fit in 64 bits. */
     OVERFLOW,
     DIVISION_BY_ZERO,
-    /** A map has no such key. */
+    /** The map does not have the key. */
     NO_SUCH_KEY,
-    /** A list has no such element, a string no such character. */
+    /** An index outside a list or a string. */
     OUT_OF_RANGE,
-    /** A text that is no number, no time, no address; a double that is no integer. */
+    /** A string that is not a valid number, time or address, or a double that cannot be converted to an integer. */
     BAD_CONVERSION,
-    /** An optional without a value, or an attribute that this request lacks. */
+    /** An empty optional, or an attribute that the request does not have. */
     ABSENT,
-    /** An attribute beyond the size that the schema states. */
+    /** An attribute whose value is larger than its maximum size in the schema. */
     TOO_LARGE
 }
--- a/expression/src/main/java/ledgewall/expression/ExpressionEnvironment.java
+++ b/expression/src/main/java/ledgewall/expression/ExpressionEnvironment.java
@@ -13,14 +13,15 @@
 import org.antlr.v4.runtime.misc.ParseCancellationException;
 
 /**
- * Accepts expressions over one schema, or refuses them with the place and the reason. Those accepted by one object can name one
- * another, each those before it, and share a frame.
+ * Compiles expressions against a schema. Expressions of one environment can refer by name to those defined before them, and use
+ * one layout of slots in a frame.
  */
 public final class ExpressionEnvironment {
     private final Schema schema;
     private final Limits limits;
     private final Map<String, Node.SharedExpression> namedExpressions = new LinkedHashMap<>();
     private final Compiler compiler = new Compiler();
+    /** The number of variable slots that the expressions compiled so far use. */
     private int variableSlots;
 
     public ExpressionEnvironment(Schema schema, Limits limits) {
@@ -32,36 +33,36 @@
         return schema;
     }
 
-    /** Accepts an expression that later ones can name. In one evaluation it is computed once at most. */
+    /** Compiles an expression that later ones can refer to by name. It is evaluated at most once for a request. */
     public Program define(String name, String source) throws ExpressionException {
         if (!name.matches("[A-Za-z_][A-Za-z0-9_]*") || schema.attribute(name) != null || namedExpressions.containsKey(name)) {
-            throw new ExpressionException(new Position(1, 1), "'" + name + "' is no name, or names something already");
+            throw new ExpressionException(new Position(1, 1), "'" + name + "' is not a valid name or is already in use");
         }
         Program program = compile(source);
         namedExpressions.put(name, new Node.SharedExpression(namedExpressions.size(), name, program.node(), new Position(1, 1)));
         return program;
     }
 
-    /** Accepts an expression. */
     public Program compile(String source) throws ExpressionException {
         GrammarParser.SourceContext tree = parse(source);
         TypeChecker checker = new TypeChecker(schema, namedExpressions, limits, variableSlots);
         Node node = checker.check(tree.expression());
         Cost cost = Cost.of(node);
         if (cost.steps() > limits.maxSteps() || cost.bytes() > limits.maxBytes()) {
-            throw new ExpressionException(node.position(), "can take " + cost + ", " + limits.maxSteps() + " steps and "
-                + limits.maxBytes() + " bytes at most");
+            throw new ExpressionException(node.position(), "can take " + cost + "; the limit is " + limits.maxSteps()
+                + " steps and " + limits.maxBytes() + " bytes");
         }
         variableSlots = checker.nextSlot();
         return new Program(source, node, cost, compiler.compile(node), namedExpressions.size(), variableSlots, this);
     }
 
     /**
-     * The same expressions, accepted by this object, with what several of them say alike computed once for a request. They
-     * say what they said before; one whose bound would pass the limit by that stays as it is.
+     * Recompiles expressions of this environment so that subexpressions that several of them have in common are evaluated once
+     * for a request. Results stay the same. An expression whose cost bound would then exceed the limit is returned unchanged.
      */
     public List<Program> shareCommonSubexpressions(List<Program> programs) {
-        CommonSubexpressions subexpressions = new CommonSubexpressions(programs.stream().map(Program::node).toList(), namedExpressions.size());
+        CommonSubexpressions subexpressions = new CommonSubexpressions(programs.stream().map(Program::node).toList(),
+            namedExpressions.size());
         List<Node> nodes = programs.stream().map(program -> subexpressions.share(program.node())).toList();
         List<Program> shared = new ArrayList<>();
         for (int i = 0; i < nodes.size(); i++) {
@@ -75,8 +76,8 @@
 
     private GrammarParser.SourceContext parse(String source) throws ExpressionException {
         if (source.length() > limits.maxSourceChars()) {
-            throw new ExpressionException(new Position(1, 1), "a source of " + source.length() + " characters, "
-                + limits.maxSourceChars() + " at most");
+            throw new ExpressionException(new Position(1, 1), "the expression has " + source.length()
+                + " characters; the limit is " + limits.maxSourceChars());
         }
         GrammarLexer lexer = new GrammarLexer(CharStreams.fromString(source));
         FirstErrorListener errorListener = new FirstErrorListener();
@@ -95,7 +96,7 @@
         }
     }
 
-    /** Whatever would make the parser go deep is refused before it begins. */
+    /** Rejects deep nesting and unrecognized characters before parsing, because the parser recurses for each nested level. */
     private void checkTokens(CommonTokenStream tokens) throws ExpressionException {
         int bracketDepth = 0;
         int consecutiveSigns = 0;
@@ -112,10 +113,11 @@
             consecutiveSigns = token.getText().equals("!") || token.getText().equals("-") ? consecutiveSigns + 1 : 0;
             conditionals += type == GrammarLexer.QUESTION ? 1 : 0;
             if (Math.max(Math.max(bracketDepth, consecutiveSigns), conditionals) > limits.maxNesting()) {
-                throw new ExpressionException(position, "more than " + limits.maxNesting() + " brackets, signs or conditionals nested");
+                throw new ExpressionException(position, "more than " + limits.maxNesting()
+                    + " nested brackets, unary operators or conditionals");
             }
             if (++count > limits.maxTokens()) {
-                throw new ExpressionException(position, "more than " + limits.maxTokens() + " words and signs");
+                throw new ExpressionException(position, "more than " + limits.maxTokens() + " tokens");
             }
         }
     }
@@ -126,14 +128,14 @@
             ? String.format("character U+%04X", c) : "'" + text + "'";
     }
 
-    /** Ends at the first complaint. */
+    /** Aborts parsing at the first syntax error and keeps it. */
     private static final class FirstErrorListener extends BaseErrorListener {
         private ExpressionException error;
 
         @Override
         public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
                                 RecognitionException cause) {
-            String reason = symbol instanceof Token token && token.getType() == Token.EOF ? "ends too early"
+            String reason = symbol instanceof Token token && token.getType() == Token.EOF ? "unexpected end of expression"
                 : symbol instanceof Token token ? "unexpected " + describe(token.getText()) : "unexpected character";
             error = new ExpressionException(new Position(line, column + 1), reason);
             throw new ParseCancellationException(error);
--- a/expression/src/main/java/ledgewall/expression/ExpressionException.java
+++ b/expression/src/main/java/ledgewall/expression/ExpressionException.java
@@ -1,8 +1,9 @@
 package ledgewall.expression;
 
-/** An expression that is not accepted: what is wrong, where, and what would be right where that can be told. */
+/** Thrown for an expression that does not compile: gives the position and the reason, with a suggestion where there is one. */
 public final class ExpressionException extends Exception {
     private static final long serialVersionUID = 1L;
+    /** Maximum characters of the source line shown in a formatted message. */
     private static final int EXCERPT_CHARS = 120;
 
     private final transient Position position;
@@ -18,12 +19,12 @@
         return position;
     }
 
-    /** What is wrong, without the place. */
+    /** The message without the position. */
     public String reason() {
         return reason;
     }
 
-    /** The message with the line of source that it speaks of, and a caret under the place. */
+    /** Formats the message with the source line that it refers to, and a caret under the column. */
     public String formatWithSource(String name, String source) {
         String[] lines = source.split("\n", -1);
         String line = position.line() <= lines.length ? lines[position.line() - 1] : "";
--- a/expression/src/main/java/ledgewall/expression/Function.java
+++ b/expression/src/main/java/ledgewall/expression/Function.java
@@ -3,19 +3,28 @@
 import java.util.List;
 
 /**
- * A function, a method or an operator: for which types it is, what it costs and what it gives. Costs grow with each size.
+ * An overload of a function, a method or an operator: its types, cost and implementation. Both cost formulas must not decrease
+ * when an argument or the result grows, so that maximum sizes give an upper bound.
  *
- * @param name as it is written
- * @param form how it is written
- * @param signature for the reference
- * @param meaning for the reference
- * @param cost for the reference
+ * @param name the name in the source
+ * @param form the syntax of a call
+ * @param signature text for the language reference; {@link #arity} is derived from it
+ * @param description text for the language reference
+ * @param costText text for the language reference
+ * @param typeRule the result type
+ * @param sizeRule the maximum size of the result
+ * @param stepCost steps of one call
+ * @param byteCost bytes that one call allocates
+ * @param implementation the evaluation
+ * @param constantCheck the check at load of arguments that are constants
  */
-record Function(String name, Form form, String signature, String description, String costText, TypeRule typeRule, SizeRule sizeRule,
-                CostFormula stepCost, CostFormula byteCost, Implementation implementation, ConstantCheck constantCheck) {
+record Function(String name, Form form, String signature, String description, String costText, TypeRule typeRule,
+                SizeRule sizeRule, CostFormula stepCost, CostFormula byteCost, Implementation implementation,
+                ConstantCheck constantCheck) {
+    /** The syntax of a call: {@code f(x)}, {@code x.f()} or an operator. */
     enum Form { FUNCTION, METHOD, OPERATOR }
 
-    /** How many arguments it takes, as its signature says; a method's receiver is one. */
+    /** The number of arguments, derived from the signature; the receiver of a method counts as one. */
     int arity() {
         int receiverEnd = form == Form.METHOD ? signature.indexOf(".(") : -1;
         int commas = 0;
@@ -33,27 +42,27 @@
         return (receiverEnd < 0 ? 0 : 1) + (empty ? 0 : commas + 1);
     }
 
-    /** The result's type for these arguments, or null where they do not fit. */
+    /** Gives the result type for argument types, or null if the overload does not take them. */
     interface TypeRule {
         Type of(List<Type> arguments);
     }
 
-    /** How large the result can be, from how large the arguments can be. */
+    /** Gives the maximum size of the result from the maximum sizes of the arguments. */
     interface SizeRule {
         Size of(List<Size> arguments);
     }
 
-    /** Steps or bytes of one call, from the sizes of the arguments and of the result. */
+    /** Gives the steps or the bytes of one call from the sizes of the arguments and of the result. */
     interface CostFormula {
         long of(List<Size> arguments, Size result);
     }
 
-    /** The value, or an {@link ErrorKind}; no argument is one. */
+    /** Evaluates a call: returns the value or an {@link ErrorKind}. Arguments are never errors. */
     interface Implementation {
         Object of(Object[] arguments);
     }
 
-    /** What is wrong with arguments that are constants, or null; others are null here. */
+    /** Validates constant arguments at load: returns a message or null. Arguments that are not constant are passed as null. */
     interface ConstantCheck {
         String problem(Object[] constants);
     }
--- a/expression/src/main/java/ledgewall/expression/Limits.java
+++ b/expression/src/main/java/ledgewall/expression/Limits.java
@@ -1,14 +1,14 @@
 package ledgewall.expression;
 
 /**
- * What an expression may be and cost; beyond it is refused at load.
+ * Limits on the size and the cost of an expression. An expression that exceeds one is rejected at load.
  *
- * @param source characters of source
- * @param tokens words and signs of it
- * @param nesting brackets within brackets, signs before signs
- * @param depth levels of the tree, chains of operators included
- * @param steps the bound on an evaluation's steps
- * @param bytes the bound on what one evaluation allocates
+ * @param maxSourceChars characters of source
+ * @param maxTokens tokens of source
+ * @param maxNesting nested brackets, consecutive unary operators, and conditional operators or optional indexes in the source
+ * @param maxDepth levels of the syntax tree; each operator in a chain counts as a level
+ * @param maxSteps upper bound on the steps of one evaluation
+ * @param maxBytes upper bound on the bytes that one evaluation allocates
  */
 public record Limits(int maxSourceChars, int maxTokens, int maxNesting, int maxDepth, long maxSteps, long maxBytes) {
     public static final Limits DEFAULT = new Limits(16 * 1024, 2_048, 32, 128, 100_000, 1024 * 1024);
--- a/expression/src/main/java/ledgewall/expression/Literals.java
+++ b/expression/src/main/java/ledgewall/expression/Literals.java
@@ -3,7 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** What stands between quotes, with its escapes taken for what they mean. */
+/** Decodes string and bytes literals, including their escape sequences. */
 final class Literals {
     private static final int HEX_RADIX = 16;
     private static final int OCTAL_RADIX = 8;
@@ -11,6 +11,7 @@
     private Literals() {
     }
 
+    /** Decodes a string literal; a raw one, with the prefix {@code r}, has no escapes. */
     static String string(String token, Position position) throws ExpressionException {
         if (token.startsWith("r")) {
             return token.substring(2, token.length() - 1);
@@ -28,7 +29,7 @@
         return text.toString();
     }
 
-    /** In UTF-8; an escape of two hexadecimal or three octal digits is one byte. */
+    /** Decodes a bytes literal: characters are encoded in UTF-8; an escape of two hex or three octal digits is one byte. */
     static Bytes bytes(String token, Position position) throws ExpressionException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         int[] cursor = {2};
@@ -48,6 +49,7 @@
         return Bytes.wrap(bytes.toByteArray());
     }
 
+    /** Reads an escape sequence after its backslash and advances the cursor; returns the code point. */
     private static int readEscape(String token, int[] cursor, Position position) throws ExpressionException {
         char c = token.charAt(cursor[0]++);
         int simpleEscape = "abfnrtv\\'\"`?".indexOf(c);
@@ -64,16 +66,17 @@
         }
         int value = readDigits(token, cursor, digitCount, HEX_RADIX, position);
         if (!Character.isValidCodePoint(value) || value >= Character.MIN_SURROGATE && value <= Character.MAX_SURROGATE) {
-            throw new ExpressionException(position, "an escape that is no character");
+            throw new ExpressionException(position, "the escape is not a valid character");
         }
         return value;
     }
 
-    private static int readDigits(String token, int[] cursor, int digitCount, int radix, Position position) throws ExpressionException {
+    private static int readDigits(String token, int[] cursor, int digitCount, int radix, Position position)
+            throws ExpressionException {
         int end = cursor[0] + digitCount;
         String digits = end < token.length() ? token.substring(cursor[0], end) : "";
         if (digits.isEmpty() || !digits.chars().allMatch(d -> Character.digit(d, radix) >= 0 && d < 128)) {
-            throw new ExpressionException(position, "an escape of " + digitCount + " digits lacks some");
+            throw new ExpressionException(position, "the escape needs " + digitCount + " digits");
         }
         cursor[0] = end;
         return (int) Math.min(Integer.MAX_VALUE, Long.parseLong(digits, radix));
--- a/expression/src/main/java/ledgewall/expression/Node.java
+++ b/expression/src/main/java/ledgewall/expression/Node.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A checked expression: each part knows its type, how large its value can be, and where it stands in the source. */
+/** A node of a type-checked expression tree, with its type, the maximum size of its value and its position in the source. */
 sealed interface Node {
     Type type();
 
@@ -14,10 +14,10 @@
 
     record Attribute(int index, String name, Type type, Size size, Position position) implements Node { }
 
-    /** What a comprehension names, by its slot. */
+    /** The element variable of an enclosing comprehension. */
     record Variable(int slot, String name, Type type, Size size, Position position) implements Node { }
 
-    /** All of its parts, or any: an error counts only where no other part decides. */
+    /** A conjunction or disjunction. An operand that is an error decides the result only if no other operand does. */
     record Logical(boolean isConjunction, List<Node> operands, Position position) implements Node {
         @Override
         public Type type() {
@@ -30,6 +30,7 @@
         }
     }
 
+    /** The conditional operator {@code condition ? whenTrue : whenFalse}. */
     record Conditional(Node condition, Node whenTrue, Node whenFalse, Type type, Size size, Position position) implements Node { }
 
     record Call(Function function, List<Node> arguments, Type type, Size size, Position position) implements Node { }
@@ -38,7 +39,7 @@
 
     record MapLiteral(List<String> keys, List<Node> values, Type type, Size size, Position position) implements Node { }
 
-    /** Another expression by its name: computed at most once in an evaluation, whoever asks. */
+    /** A named expression or a common subexpression: evaluated at most once for a request, however many nodes refer to it. */
     record SharedExpression(int slot, String name, Node body, Position position) implements Node {
         @Override
         public Type type() {
@@ -51,9 +52,9 @@
         }
     }
 
-    /** What is asked of a list's elements. */
+    /** The operation that a comprehension applies to the elements of a list. */
     enum Macro { ALL, EXISTS, EXISTS_ONE, FILTER, MAP }
 
-    /** The body is evaluated once for each element, which stands in the slot meanwhile. */
+    /** Evaluates the body once for each element of the list, with the element in the variable's slot. */
     record Comprehension(Macro macro, Node list, int slot, Node body, Type type, Size size, Position position) implements Node { }
 }
--- a/expression/src/main/java/ledgewall/expression/Position.java
+++ b/expression/src/main/java/ledgewall/expression/Position.java
@@ -1,6 +1,6 @@
 package ledgewall.expression;
 
-/** A place in a source; lines count from 1, columns too, in characters. */
+/** A line and a column in the source of an expression. Both count from 1; columns count characters. */
 public record Position(int line, int column) {
     @Override
     public String toString() {
--- a/expression/src/main/java/ledgewall/expression/Reference.java
+++ b/expression/src/main/java/ledgewall/expression/Reference.java
@@ -5,22 +5,25 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What the language has, and what an expression has become, in words; the reference page is checked against this. */
+/**
+ * Texts that describe the language and compiled expressions. A test compares the published reference page with the table rows.
+ */
 public final class Reference {
     private Reference() {
     }
 
-    /** A line of a Markdown table for each function, method and operator. */
+    /** Returns one Markdown table row for each function, method and operator. */
     public static List<String> functionRows() {
         return Functions.all().stream().sorted(Comparator.comparing(Function::form).thenComparing(Function::name))
-            .map(f -> "| " + escapeCell(f.form().name().toLowerCase(Locale.ROOT)) + " | `" + f.name() + "` | " + escapeCell(f.signature())
-                + " | " + escapeCell(f.description()) + " | " + escapeCell(f.costText()) + " |").toList();
+            .map(f -> "| " + escapeCell(f.form().name().toLowerCase(Locale.ROOT)) + " | `" + f.name() + "` | "
+                + escapeCell(f.signature()) + " | " + escapeCell(f.description()) + " | "
+                + escapeCell(f.costText()) + " |").toList();
     }
 
-    /** A line for each attribute. */
+    /** Returns one Markdown table row for each attribute. */
     public static List<String> attributeRows(Schema schema) {
-        return schema.attributes().stream().map(a -> "| `" + a.name() + "` | " + a.type() + " | " + sizeText(a) + " | " + a.description()
-            + " |").toList();
+        return schema.attributes().stream().map(a -> "| `" + a.name() + "` | " + a.type() + " | " + sizeText(a) + " | "
+            + a.description() + " |").toList();
     }
 
     private static String escapeCell(String text) {
@@ -39,7 +42,7 @@
         };
     }
 
-    /** A compiled expression as a tree, each part with its type, its largest size and the bound up to it. */
+    /** Returns an expression as an indented tree: one line for each node with its type and the cost bound of its subtree. */
     public static List<String> plan(Program program) {
         List<String> lines = new ArrayList<>();
         plan(program.node(), "", lines);
@@ -60,25 +63,27 @@
             return "attribute " + attribute.name();
         } else if (node instanceof Node.Variable variable) {
             return "element " + variable.name();
-        } else if (node instanceof Node.Logical logic) {
-            return logic.isConjunction() ? "all of" : "any of";
+        } else if (node instanceof Node.Logical logical) {
+            return logical.isConjunction() ? "all of" : "any of";
         } else if (node instanceof Node.Call call) {
             return "call " + call.function().name();
-        } else if (node instanceof Node.Comprehension loop) {
-            return "each, " + loop.macro().name().toLowerCase(Locale.ROOT);
+        } else if (node instanceof Node.Comprehension comprehension) {
+            return "each, " + comprehension.macro().name().toLowerCase(Locale.ROOT);
         } else if (node instanceof Node.SharedExpression shared) {
             return "shared " + shared.name();
         }
         return node instanceof Node.Conditional ? "choice" : node instanceof Node.ListLiteral ? "list" : "map";
     }
 
-    /** What an index can find a condition by. */
+    /** Describes the requirements by which an index can look up a condition. */
     public static List<String> requirements(Program program, Schema schema) {
-        return program.requirements().stream().map(r -> {
-            String subject = schema.attributes().get(r.subject().attribute()).name()
-                + (r.subject().key() == null ? "" : "['" + r.subject().key() + "']");
-            return subject + (r.values() != null ? " in " + r.values().stream().map(Object::toString).sorted().toList()
-                : r.prefix() != null ? " begins with '" + r.prefix() + "'" : " from " + r.min() + " to " + r.max());
+        return program.requirements().stream().map(requirement -> {
+            String subject = schema.attributes().get(requirement.subject().attribute()).name()
+                + (requirement.subject().key() == null ? "" : "['" + requirement.subject().key() + "']");
+            return subject + (requirement.values() != null
+                ? " in " + requirement.values().stream().map(Object::toString).sorted().toList()
+                : requirement.prefix() != null ? " begins with '" + requirement.prefix() + "'"
+                : " from " + requirement.min() + " to " + requirement.max());
         }).toList();
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Requirement.java
+++ b/expression/src/main/java/ledgewall/expression/Requirement.java
@@ -7,23 +7,24 @@
 import java.util.Set;
 
 /**
- * Something that an attribute, or one entry of a map, must be for a condition to hold; false or an error otherwise. Indexes
- * find rules by these.
+ * A necessary condition on one attribute or one map entry: where it is not met, the whole condition is false or an error. Rule
+ * indexes look rules up by their requirements.
  *
- * @param subject what must be so
- * @param values one of these, where they are what is required; else null
- * @param prefix what it must begin with; else null
- * @param least the least integer, duration or timestamp, where a range is required
- * @param most the greatest
+ * @param subject the attribute or map entry that is restricted
+ * @param values the permitted values, or null if the requirement is a prefix or a range
+ * @param prefix the required prefix of a string, or null if the requirement is a set of values or a range
+ * @param min the least permitted integer, duration or timestamp; used only if both {@code values} and {@code prefix} are null
+ * @param max the greatest one, inclusive
  */
 public record Requirement(Subject subject, Set<Object> values, String prefix, long min, long max) {
     /**
-     * An attribute, or an entry of one that is a map.
+     * An attribute, or an entry of a map attribute.
      *
-     * @param key the entry's, or null
+     * @param attribute the attribute's index in the schema
+     * @param key the key of the map entry, or null for the attribute itself
      */
     public record Subject(int attribute, String key) {
-        /** Its value for a request, or null where it has none or is an error. */
+        /** Returns the value for a request, or null if it is missing or an error. */
         public Object value(Frame frame) {
             Object value = frame.value(attribute);
             if (value instanceof ErrorKind) {
@@ -33,7 +34,7 @@
         }
     }
 
-    /** Whether whatever meets this meets the other too. */
+    /** Whether every value that meets this requirement also meets the other. */
     public boolean implies(Requirement other) {
         if (!subject.equals(other.subject)) {
             return false;
@@ -53,7 +54,7 @@
             : value instanceof Long number && number >= min && number <= max;
     }
 
-    /** What a condition requires of single subjects: one for each part that says so plainly. */
+    /** Returns one requirement for each conjunct of the condition that has an indexable form; other conjuncts are skipped. */
     static List<Requirement> of(Node condition) {
         List<Requirement> requirements = new ArrayList<>();
         for (Node conjunct : conjuncts(condition)) {
@@ -65,25 +66,25 @@
         return requirements;
     }
 
-    /** The parts that must all hold. */
+    /** Splits a condition into the parts that must all hold, looking into nested conjunctions and named expressions. */
     static List<Node> conjuncts(Node condition) {
         if (condition instanceof Node.SharedExpression shared) {
             return conjuncts(shared.body());
         }
-        if (condition instanceof Node.Logical logic && logic.isConjunction()) {
-            return logic.operands().stream().flatMap(part -> conjuncts(part).stream()).toList();
+        if (condition instanceof Node.Logical logical && logical.isConjunction()) {
+            return logical.operands().stream().flatMap(operand -> conjuncts(operand).stream()).toList();
         }
         return List.of(condition);
     }
 
     private static Requirement ofConjunct(Node conjunct) {
-        if (conjunct instanceof Node.Logical logic && !logic.isConjunction()) {
-            return ofDisjunction(logic.operands());
+        if (conjunct instanceof Node.Logical logical && !logical.isConjunction()) {
+            return ofDisjunction(logical.operands());
         }
         if (conjunct instanceof Node.SharedExpression shared) {
             return ofConjunct(shared.body());
         }
-        if (conjunct instanceof Node.Attribute flag) { // a bool, as all that is required
+        if (conjunct instanceof Node.Attribute flag) { // a bool attribute that is the whole conjunct
             return new Requirement(new Subject(flag.index(), null), Set.of(true), null, 0, 0);
         }
         if (conjunct instanceof Node.Call negation && negation.function().name().equals("!")
@@ -104,6 +105,7 @@
             ? of(mirroredOperator(call.function().name()), mirroredSubject, second.type(), constant.value()) : null;
     }
 
+    /** The operator that gives the same result with its operands swapped, or an empty string if there is none. */
     private static String mirroredOperator(String operator) {
         return switch (operator) {
             case "==" -> "==";
@@ -115,13 +117,14 @@
         };
     }
 
-    /** Any of several values of one subject is a set. */
+    /** Merges alternatives that all restrict the same subject to sets of values into one set; returns null otherwise. */
     private static Requirement ofDisjunction(List<Node> operands) {
         Set<Object> values = new HashSet<>();
         Subject subject = null;
         for (Node operand : operands) {
             Requirement requirement = ofConjunct(operand);
-            if (requirement == null || requirement.values == null || subject != null && !requirement.subject.equals(subject)) {
+            if (requirement == null || requirement.values == null
+                    || subject != null && !requirement.subject.equals(subject)) {
                 return null;
             }
             subject = requirement.subject;
@@ -151,7 +154,7 @@
         return new Requirement(subject, null, null, min, max);
     }
 
-    /** An attribute; an entry under a constant key; or such an entry with a default, unless the default would do. */
+    /** Returns the subject if the node is a scalar attribute or a map attribute indexed by a constant key, else null. */
     private static Subject subject(Node node) {
         if (node instanceof Node.Attribute attribute && attribute.type().isScalar()) {
             return new Subject(attribute.index(), null);
--- a/expression/src/main/java/ledgewall/expression/Schema.java
+++ b/expression/src/main/java/ledgewall/expression/Schema.java
@@ -6,20 +6,26 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The attributes that expressions may name, each with its type and greatest size. A request may lack any of them. */
+/** The attributes that expressions can read, each with its type and maximum size. Any of them can be absent from a request. */
 public final class Schema {
-    /** One attribute: its place among the schema's, and what it can hold. */
+    /**
+     * An attribute of the schema.
+     *
+     * @param index its index in the schema and in frames
+     * @param size the maximum size of its value
+     * @param description text for the language reference
+     */
     public record Attribute(int index, String name, Type type, Size size, String description) { }
 
     private final Map<String, Attribute> attributes = new LinkedHashMap<>();
 
-    /** The next attribute; its name may have parts, with dots between them. */
+    /** Adds an attribute. Its name can consist of several identifiers separated by dots. */
     public Schema with(String name, Type type, Size size, String description) {
         if (!name.matches("[A-Za-z_][A-Za-z0-9_]*(\\.[A-Za-z_][A-Za-z0-9_]*)*")) {
-            throw new IllegalArgumentException("no name of an attribute: '" + name + "'");
+            throw new IllegalArgumentException("invalid attribute name: '" + name + "'");
         }
         if (attributes.putIfAbsent(name, new Attribute(attributes.size(), name, type, size, description)) != null) {
-            throw new IllegalArgumentException("two attributes are named '" + name + "'");
+            throw new IllegalArgumentException("duplicate attribute: '" + name + "'");
         }
         return this;
     }
@@ -40,7 +46,7 @@
         return attributes.size();
     }
 
-    /** What proxies and gateways tell of a request, whichever protocol it came by. */
+    /** The attributes of requests in every supported protocol. Those that a protocol does not provide are absent. */
     public static Schema ofRequests() {
         Size identifierSize = Size.chars(128);
         Size pathSize = Size.chars(2_048);
@@ -53,7 +59,8 @@
                 "its query parameters, the first of each")
             .with("sql.text", Type.STRING, Size.chars(16_384), "a statement's text, its comment included")
             .with("sql.keyword", Type.STRING, Size.chars(32), "its first word, in capitals")
-            .with("sql.tables", Type.listOf(Type.STRING), Size.list(16, identifierSize), "the tables that it names, in lower case")
+            .with("sql.tables", Type.listOf(Type.STRING), Size.list(16, identifierSize),
+                "the tables that it names, in lower case")
             .with("sql.writes", Type.BOOL, Size.ONE, "whether a word that changes data or locks rows stands outside its quotes")
             .with("comment", Type.mapOf(Type.STRING), Size.map(16, 32, Size.chars(256)), "the fields of its comment")
             .with("database", Type.STRING, identifierSize, "the database that its client named")
--- a/expression/src/main/java/ledgewall/expression/Size.java
+++ b/expression/src/main/java/ledgewall/expression/Size.java
@@ -1,17 +1,22 @@
 package ledgewall.expression;
 
 /**
- * How large a value can be: characters of a string, bytes, elements of a list or entries of a map; and how large what it
- * holds can be, the keys of a map included. Sums and products end at the largest long instead of wrapping.
+ * The size of a value, either an actual one or an upper bound. Sums and products saturate at {@link Long#MAX_VALUE} instead of
+ * overflowing.
+ *
+ * @param count characters of a string, bytes, elements of a list or entries of a map; 1 for other values
+ * @param element the largest size of a list's elements, a map's values or an optional's value; null for other values
+ * @param keyChars characters of the longest key of a map; 0 for other values
  */
 public record Size(long count, Size element, long keyChars) {
-    /** Of what has a fixed size. */
+    /** The size of a value of a fixed-size type, such as an integer. */
     public static final Size ONE = new Size(1, null, 0);
-    /** Bytes that an object takes besides what it holds, and a reference to it. */
+    /** Estimated bytes of an object without its contents. */
     static final long OBJECT_BYTES = 24;
+    /** Estimated bytes of a reference to an object. */
     static final long REFERENCE_BYTES = 8;
 
-    /** At most so many characters or bytes. */
+    /** The size of a string or bytes value with at most so many characters or bytes. */
     public static Size chars(long maxCount) {
         return new Size(maxCount, null, 0);
     }
@@ -24,24 +29,26 @@
         return new Size(maxCount, value, keyChars);
     }
 
+    /** Adds two non-negative numbers; saturates. */
     static long plus(long a, long b) {
         long sum = a + b;
         return sum < 0 ? Long.MAX_VALUE : sum;
     }
 
+    /** Multiplies two non-negative numbers; saturates. */
     static long times(long a, long b) {
         long high = Math.multiplyHigh(a, b);
         long low = a * b;
         return high != 0 || low < 0 ? Long.MAX_VALUE : low;
     }
 
-    /** The larger of two, in each respect. */
+    /** The component-wise maximum of two sizes. */
     Size max(Size other) {
         Size maxElement = element == null ? other.element : other.element == null ? element : element.max(other.element);
         return new Size(Math.max(count, other.count), maxElement, Math.max(keyChars, other.keyChars));
     }
 
-    /** Steps that it takes to look at all of a value. */
+    /** Steps to read a whole value of this size, its elements and keys included. */
     long traversalSteps(Type type) {
         return switch (type.kind()) {
             case STRING, BYTES -> Costs.chars(count);
--- a/expression/src/main/java/ledgewall/expression/Type.java
+++ b/expression/src/main/java/ledgewall/expression/Type.java
@@ -2,9 +2,9 @@
 
 import java.util.Objects;
 
-/** The type of an expression or of an attribute; every one is known at load. */
+/** The type of an expression or of an attribute. All types are checked at load. */
 public final class Type {
-    /** What sort of value; the last three hold others. */
+    /** The kind of value. The last three kinds contain values of another type. */
     public enum Kind { BOOL, INT, DOUBLE, STRING, BYTES, DURATION, TIMESTAMP, LIST, MAP, OPTIONAL }
 
     public static final Type BOOL = new Type(Kind.BOOL, null);
@@ -27,7 +27,7 @@
         return new Type(Kind.LIST, element);
     }
 
-    /** A map from strings. */
+    /** A map with string keys. */
     public static Type mapOf(Type value) {
         return new Type(Kind.MAP, value);
     }
@@ -41,12 +41,12 @@
         return kind;
     }
 
-    /** What a list, a map or an optional holds; null of the others. */
+    /** The type of a list's elements, a map's values or an optional's value; null for other types. */
     public Type element() {
         return element;
     }
 
-    /** Whether values are held as a 64-bit integer: durations in ns, timestamps in ns since 1970. */
+    /** Whether values are stored as a 64-bit integer: durations in nanoseconds, timestamps in nanoseconds since 1970. */
     boolean isLong() {
         return kind == Kind.INT || kind == Kind.DURATION || kind == Kind.TIMESTAMP;
     }
@@ -55,7 +55,7 @@
         return isLong() || kind == Kind.DOUBLE || kind == Kind.STRING || kind == Kind.BYTES;
     }
 
-    /** Whether values of it hold no others. */
+    /** Whether values contain no values of another type. */
     boolean isScalar() {
         return element == null;
     }
--- a/expression/src/main/java/ledgewall/expression/TypeChecker.java
+++ b/expression/src/main/java/ledgewall/expression/TypeChecker.java
@@ -24,22 +24,23 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * Gives each part of a parsed expression its type, its size and its meaning, or refuses it. Parts that are constant are
- * computed here, so that no evaluation finds their errors.
+ * Turns a parse tree into typed nodes with maximum sizes, resolves names and overloads, and rejects expressions that are not well
+ * typed. Constant subexpressions are folded here, so that their errors are reported at load and not at evaluation.
  */
 final class TypeChecker {
     private static final Map<String, Node.Macro> MACROS = Map.of("all", Node.Macro.ALL, "exists", Node.Macro.EXISTS,
         "exists_one", Node.Macro.EXISTS_ONE, "filter", Node.Macro.FILTER, "map", Node.Macro.MAP);
-    /** Names that differ by more are no slip of the keyboard. */
+    /** Maximum edit distance, in characters, at which a known name is suggested for an unknown one. */
     private static final int MAX_TYPO_DISTANCE = 3;
 
     private final Schema schema;
     private final Map<String, Node.SharedExpression> namedExpressions;
     private final Limits limits;
     private final Map<String, Node.Variable> loopVariables = new HashMap<>();
+    /** The first free variable slot. */
     private int nextSlot;
 
-    /** Comprehensions take slots from the first one given on: those of expressions that share a frame differ. */
+    /** Comprehensions use slots from {@code firstSlot} on: expressions that use the same frame must not use the same slots. */
     TypeChecker(Schema schema, Map<String, Node.SharedExpression> namedExpressions, Limits limits, int firstSlot) {
         this.nextSlot = firstSlot;
         this.schema = schema;
@@ -47,7 +48,7 @@
         this.limits = limits;
     }
 
-    /** The first slot that is free. */
+    /** The first variable slot that is free after the expressions checked so far. */
     int nextSlot() {
         return nextSlot;
     }
@@ -68,6 +69,7 @@
         return new ExpressionException(position, reason);
     }
 
+    /** Returns the depth of the next level; throws if it exceeds the limit. */
     private int checkDepth(ParserRuleContext tree, int depth) throws ExpressionException {
         if (depth >= limits.maxDepth()) {
             throw error(positionOf(tree), "nested deeper than " + limits.maxDepth() + " levels");
@@ -75,7 +77,7 @@
         return depth + 1;
     }
 
-    // ---- From the conditional down to what has postfixes
+    // ---- Operators, by increasing precedence
 
     private Node expression(ExpressionContext tree, int depth) throws ExpressionException {
         int innerDepth = checkDepth(tree, depth);
@@ -86,48 +88,50 @@
         Node whenTrue = logical(tree.or(1), innerDepth);
         Node whenFalse = expression(tree.expression(), innerDepth);
         if (condition.type() != Type.BOOL) {
-            throw error(condition.position(), "a condition is a bool, this is " + condition.type());
+            throw error(condition.position(), "a condition must be a bool, but this is " + condition.type());
         }
         if (!whenTrue.type().equals(whenFalse.type())) {
-            throw error(whenFalse.position(), "both branches have one type, these are " + whenTrue.type() + " and " + whenFalse.type());
+            throw error(whenFalse.position(), "both branches must have the same type, but these are " + whenTrue.type()
+                + " and " + whenFalse.type());
         }
         if (condition instanceof Node.Constant constant) {
             return (Boolean) constant.value() ? whenTrue : whenFalse;
         }
-        return new Node.Conditional(condition, whenTrue, whenFalse, whenTrue.type(), whenTrue.size().max(whenFalse.size()), condition.position());
+        return new Node.Conditional(condition, whenTrue, whenFalse, whenTrue.type(), whenTrue.size().max(whenFalse.size()),
+            condition.position());
     }
 
     private Node logical(GrammarParser.OrContext tree, int depth) throws ExpressionException {
-        List<Node> parts = new ArrayList<>();
-        for (GrammarParser.AndContext part : tree.and()) {
-            List<Node> isConjunction = new ArrayList<>();
-            for (GrammarParser.RelationContext relation : part.relation()) {
-                isConjunction.add(relation(relation, depth));
+        List<Node> disjuncts = new ArrayList<>();
+        for (GrammarParser.AndContext conjunction : tree.and()) {
+            List<Node> conjuncts = new ArrayList<>();
+            for (GrammarParser.RelationContext relation : conjunction.relation()) {
+                conjuncts.add(relation(relation, depth));
             }
-            parts.add(logical(true, isConjunction));
+            disjuncts.add(logical(true, conjuncts));
         }
-        return logical(false, parts);
+        return logical(false, disjuncts);
     }
 
-    /** Constant parts decide or go. */
-    private Node logical(boolean isConjunction, List<Node> parts) throws ExpressionException {
-        if (parts.size() == 1) {
-            return parts.get(0);
+    /** Combines operands. A constant operand either decides the result or is dropped. */
+    private Node logical(boolean isConjunction, List<Node> operands) throws ExpressionException {
+        if (operands.size() == 1) {
+            return operands.get(0);
         }
         List<Node> remaining = new ArrayList<>();
         Node decisive = null;
-        for (Node part : parts) {
-            if (part.type() != Type.BOOL) {
-                throw error(part.position(), (isConjunction ? "&&" : "||") + " takes bools, this is " + part.type());
+        for (Node operand : operands) {
+            if (operand.type() != Type.BOOL) {
+                throw error(operand.position(), (isConjunction ? "&&" : "||") + " takes bools, but this is " + operand.type());
             }
-            if (!(part instanceof Node.Constant constant)) {
-                remaining.add(part);
+            if (!(operand instanceof Node.Constant constant)) {
+                remaining.add(operand);
             } else if ((Boolean) constant.value() != isConjunction) {
-                decisive = part;
+                decisive = operand;
             }
         }
-        return decisive != null ? decisive : remaining.isEmpty() ? parts.get(0)
-            : remaining.size() == 1 ? remaining.get(0) : new Node.Logical(isConjunction, List.copyOf(remaining), parts.get(0).position());
+        return decisive != null ? decisive : remaining.isEmpty() ? operands.get(0)
+            : remaining.size() == 1 ? remaining.get(0) : new Node.Logical(isConjunction, List.copyOf(remaining), operands.get(0).position());
     }
 
     private Node relation(GrammarParser.RelationContext tree, int depth) throws ExpressionException {
@@ -151,9 +155,10 @@
         return left;
     }
 
-    private Node chainedOperator(ParseTree sign, Node left, Node right, int depth, ParserRuleContext tree) throws ExpressionException {
+    private Node chainedOperator(ParseTree operator, Node left, Node right, int depth, ParserRuleContext tree)
+            throws ExpressionException {
         checkDepth(tree, depth);
-        return operator(sign.getText(), positionOf(((TerminalNode) sign).getSymbol()), left, right);
+        return operator(operator.getText(), positionOf(((TerminalNode) operator).getSymbol()), left, right);
     }
 
     private Node unary(GrammarParser.UnaryContext tree, int depth) throws ExpressionException {
@@ -173,7 +178,10 @@
         return value;
     }
 
-    /** An integer that stands by itself: its sign belongs to it, as the smallest has no positive. */
+    /**
+     * The integer literal, if the operand is nothing else. A minus before it is parsed as its sign, because the smallest integer has
+     * no positive counterpart.
+     */
     private static TerminalNode standaloneInteger(PostfixContext tree) {
         return tree.getChildCount() == 1 && tree.primary() instanceof GrammarParser.ConstantContext constant
             ? constant.literal().INTEGER() : null;
@@ -183,7 +191,7 @@
         return call(name, Form.OPERATOR, position, List.of(operands));
     }
 
-    // ---- Names, members, indexes
+    // ---- Names, members and indexes
 
     private Node postfix(PostfixContext tree, int depth) throws ExpressionException {
         List<ParseTree> suffixes = new ArrayList<>(tree.children.subList(1, tree.children.size()));
@@ -201,7 +209,10 @@
         return value;
     }
 
-    /** The longest name that is one; parts of it are taken off the tail. */
+    /**
+     * Resolves the longest prefix of a dotted name that is known, and removes the suffixes that belong to it. A comprehension variable
+     * has precedence.
+     */
     private Node name(Token first, List<ParseTree> suffixes) throws ExpressionException {
         Node.Variable variable = loopVariables.get(first.getText());
         if (variable != null) {
@@ -228,12 +239,15 @@
         Set<String> knownNames = new HashSet<>(schema.attributeNames());
         knownNames.addAll(namedExpressions.keySet());
         knownNames.addAll(loopVariables.keySet());
-        throw error(positionOf(first), "unknown name '" + candidates.get(candidates.size() - 1) + "'" + suggestion(candidates, knownNames));
+        throw error(positionOf(first), "unknown name '" + candidates.get(candidates.size() - 1) + "'"
+            + suggestion(candidates, knownNames));
     }
 
+    /** Returns the known name that is closest to one of the written names as a suggestion, or an empty string. */
     private static String suggestion(Collection<String> writtenNames, Collection<String> knownNames) {
         LevenshteinDistance distance = new LevenshteinDistance(MAX_TYPO_DISTANCE);
-        return writtenNames.stream().flatMap(writtenName -> knownNames.stream().filter(knownName -> distance.apply(writtenName, knownName) >= 0)
+        return writtenNames.stream().flatMap(writtenName -> knownNames.stream()
+                .filter(knownName -> distance.apply(writtenName, knownName) >= 0)
                 .map(knownName -> Map.entry(distance.apply(writtenName, knownName), knownName)))
             .min(Map.Entry.<Integer, String>comparingByKey().thenComparing(Map.Entry.comparingByValue()))
             .map(nearest -> "; did you mean '" + nearest.getValue() + "'?").orElse("");
@@ -267,7 +281,7 @@
         Position position = positionOf(tree.NAME().getSymbol());
         if (tree.LPAREN() == null) {
             if (value.type().kind() != Kind.MAP) {
-                throw error(position, value.type() + " has no part '" + name + "'");
+                throw error(position, value.type() + " has no field '" + name + "'");
             }
             return call("[]", Form.OPERATOR, position, List.of(value, constant(name, Type.STRING, position)));
         }
@@ -284,23 +298,24 @@
         String macroName = tree.NAME().getText();
         Position position = positionOf(tree.NAME().getSymbol());
         if (list.type().kind() != Kind.LIST) {
-            throw error(position, "'" + macroName + "' goes over a list, this is " + list.type());
+            throw error(position, "'" + macroName + "' iterates over a list, but this is " + list.type());
         }
         List<ExpressionContext> arguments = tree.arguments() == null ? List.of() : tree.arguments().expression();
         String variableName = arguments.size() == 2 ? arguments.get(0).getText() : "";
         if (!variableName.matches("[A-Za-z_][A-Za-z0-9_]*") || variableName.equals("true") || variableName.equals("false")) {
-            throw error(position, "'" + macroName + "' takes a new name and what is asked of each element, as in "
+            throw error(position, "'" + macroName + "' takes a variable name and an expression for each element, as in "
                 + "tables." + macroName + "(t, t == 'facts')");
         }
         if (loopVariables.containsKey(variableName)) {
-            throw error(positionOf(arguments.get(0)), "'" + variableName + "' is another element's name already");
+            throw error(positionOf(arguments.get(0)), "'" + variableName + "' is already the variable of an enclosing comprehension");
         }
         int slot = nextSlot++;
-        loopVariables.put(variableName, new Node.Variable(slot, variableName, list.type().element(), list.size().element(), position));
+        loopVariables.put(variableName,
+            new Node.Variable(slot, variableName, list.type().element(), list.size().element(), position));
         Node body = expression(arguments.get(1), depth + 1);
         loopVariables.remove(variableName);
         if (macro != Node.Macro.MAP && body.type() != Type.BOOL) {
-            throw error(body.position(), "'" + macroName + "' asks a bool of each element, this is " + body.type());
+            throw error(body.position(), "the body of '" + macroName + "' must be a bool, but this is " + body.type());
         }
         Type type = macro == Node.Macro.MAP ? Type.listOf(body.type()) : macro == Node.Macro.FILTER ? list.type() : Type.BOOL;
         Size size = macro == Node.Macro.MAP ? Size.list(list.size().count(), body.size())
@@ -327,8 +342,8 @@
             }
         }
         String signatures = candidates.stream().map(Function::signature).distinct().reduce((a, b) -> a + "; " + b).orElse("");
-        throw error(position, "no '" + name + "' for " + types.stream().map(Type::toString).reduce((a, b) -> a + " and " + b)
-            .orElse("nothing") + "; there is " + signatures);
+        throw error(position, "no overload of '" + name + "' for " + types.stream().map(Type::toString).reduce((a, b) -> a + " and " + b)
+            .orElse("no arguments") + "; available: " + signatures);
     }
 
     private Node call(Function function, Type type, Position position, List<Node> arguments) throws ExpressionException {
@@ -341,9 +356,11 @@
         List<Node> preparedArguments = new ArrayList<>(arguments);
         if (Functions.takesPattern(function)) {
             Pattern pattern = Pattern.compile((String) constants[1]);
-            preparedArguments.set(1, new Node.Constant(pattern, Type.STRING, Size.chars(pattern.programSize()), arguments.get(1).position()));
+            preparedArguments.set(1, new Node.Constant(pattern, Type.STRING, Size.chars(pattern.programSize()),
+                arguments.get(1).position()));
         } else if (function.name().equals("inCidr")) {
-            preparedArguments.set(1, new Node.Constant(Texts.range((String) constants[1]), Type.STRING, Size.ONE, arguments.get(1).position()));
+            preparedArguments.set(1, new Node.Constant(Texts.range((String) constants[1]), Type.STRING, Size.ONE,
+                arguments.get(1).position()));
         }
         Size size = function.sizeRule().of(preparedArguments.stream().map(Node::size).toList());
         Node.Call call = new Node.Call(function, List.copyOf(preparedArguments), type, size, position);
@@ -353,11 +370,11 @@
     private Node foldConstant(Node node) throws ExpressionException {
         Cost cost = Cost.of(node);
         if (cost.steps() > limits.maxSteps() || cost.bytes() > limits.maxBytes()) {
-            throw error(node.position(), "a constant that takes " + cost + " to compute");
+            throw error(node.position(), "computing this constant takes " + cost + ", which is more than the limit");
         }
         Object value = new Interpreter(null, new Object[0]).value(node);
         if (value instanceof ErrorKind error) {
-            throw error(node.position(), "a constant that is an error: " + error.name().toLowerCase(java.util.Locale.ROOT)
+            throw error(node.position(), "this constant evaluates to an error: " + error.name().toLowerCase(java.util.Locale.ROOT)
                 .replace('_', ' '));
         }
         return constant(value, node.type(), node.position());
@@ -379,7 +396,7 @@
             case GrammarParser.FLOAT -> {
                 double value = Double.parseDouble(text);
                 if (Double.isInfinite(value)) {
-                    throw error(position, "a double beyond the largest");
+                    throw error(position, "the double is out of range");
                 }
                 yield constant(value, Type.DOUBLE, position);
             }
@@ -393,14 +410,14 @@
             return constant(text.contains("0x") ? Long.parseLong(text.replace("0x", ""), 16) : Long.parseLong(text), Type.INT,
                 position);
         } catch (NumberFormatException e) {
-            throw error(position, "an integer beyond 64 bits");
+            throw error(position, "the integer does not fit in 64 bits");
         }
     }
 
     private Node list(GrammarParser.ListContext tree, int depth) throws ExpressionException {
         List<Node> elements = arguments(tree.arguments(), depth);
         if (elements.isEmpty()) {
-            throw error(positionOf(tree), "a list without elements has no type");
+            throw error(positionOf(tree), "an empty list has no element type");
         }
         requireSameType("list", elements);
         Size elementSize = elements.stream().map(Node::size).reduce(Size::max).orElseThrow();
@@ -411,17 +428,17 @@
 
     private Node map(GrammarParser.MapContext tree, int depth) throws ExpressionException {
         if (tree.entry().isEmpty()) {
-            throw error(positionOf(tree), "a map without entries has no type");
+            throw error(positionOf(tree), "an empty map has no value type");
         }
         List<String> keys = new ArrayList<>();
         List<Node> values = new ArrayList<>();
         for (GrammarParser.EntryContext entry : tree.entry()) {
             Node key = expression(entry.expression(0), depth + 1);
             if (!(key instanceof Node.Constant constant) || key.type() != Type.STRING) {
-                throw error(key.position(), "a map's keys are constant strings");
+                throw error(key.position(), "map keys must be constant strings");
             }
             if (keys.contains(constant.value())) {
-                throw error(key.position(), "a key that stands before already");
+                throw error(key.position(), "duplicate map key");
             }
             keys.add((String) constant.value());
             values.add(expression(entry.expression(1), depth + 1));
@@ -437,7 +454,7 @@
     private static void requireSameType(String containerName, List<Node> nodes) throws ExpressionException {
         for (Node node : nodes) {
             if (!node.type().equals(nodes.get(0).type())) {
-                throw error(node.position(), "a " + containerName + " holds one type, this is " + node.type() + " beside "
+                throw error(node.position(), "all values in a " + containerName + " must have the same type, but this is " + node.type() + " and the first is "
                     + nodes.get(0).type());
             }
         }
