--- a/expression/src/main/java/ledgewall/expression/TypeChecker.java
+++ b/expression/src/main/java/ledgewall/expression/TypeChecker.java
@@ -131,7 +131,8 @@
             }
         }
         return decisive != null ? decisive : remaining.isEmpty() ? operands.get(0)
-            : remaining.size() == 1 ? remaining.get(0) : new Node.Logical(isConjunction, List.copyOf(remaining), operands.get(0).position());
+            : remaining.size() == 1 ? remaining.get(0)
+            : new Node.Logical(isConjunction, List.copyOf(remaining), operands.get(0).position());
     }
 
     private Node relation(GrammarParser.RelationContext tree, int depth) throws ExpressionException {
@@ -179,8 +180,8 @@
     }
 
     /**
-     * The integer literal, if the operand is nothing else. A minus before it is parsed as its sign, because the smallest integer has
-     * no positive counterpart.
+     * Returns the integer literal if the operand consists of nothing else, else null. A minus before it is parsed as its sign,
+     * because the smallest integer has no positive counterpart.
      */
     private static TerminalNode standaloneInteger(PostfixContext tree) {
         return tree.getChildCount() == 1 && tree.primary() instanceof GrammarParser.ConstantContext constant
@@ -210,8 +211,8 @@
     }
 
     /**
-     * Resolves the longest prefix of a dotted name that is known, and removes the suffixes that belong to it. A comprehension variable
-     * has precedence.
+     * Resolves the longest prefix of a dotted name that is known, and removes the suffixes that belong to it. A comprehension
+     * variable has precedence.
      */
     private Node name(Token first, List<ParseTree> suffixes) throws ExpressionException {
         Node.Variable variable = loopVariables.get(first.getText());
@@ -307,7 +308,8 @@
                 + "tables." + macroName + "(t, t == 'facts')");
         }
         if (loopVariables.containsKey(variableName)) {
-            throw error(positionOf(arguments.get(0)), "'" + variableName + "' is already the variable of an enclosing comprehension");
+            throw error(positionOf(arguments.get(0)), "'" + variableName
+                + "' is already the variable of an enclosing comprehension");
         }
         int slot = nextSlot++;
         loopVariables.put(variableName,
@@ -342,8 +344,9 @@
             }
         }
         String signatures = candidates.stream().map(Function::signature).distinct().reduce((a, b) -> a + "; " + b).orElse("");
-        throw error(position, "no overload of '" + name + "' for " + types.stream().map(Type::toString).reduce((a, b) -> a + " and " + b)
-            .orElse("no arguments") + "; available: " + signatures);
+        throw error(position, "no overload of '" + name + "' for "
+            + types.stream().map(Type::toString).reduce((a, b) -> a + " and " + b).orElse("no arguments")
+            + "; available: " + signatures);
     }
 
     private Node call(Function function, Type type, Position position, List<Node> arguments) throws ExpressionException {
@@ -454,8 +457,8 @@
     private static void requireSameType(String containerName, List<Node> nodes) throws ExpressionException {
         for (Node node : nodes) {
             if (!node.type().equals(nodes.get(0).type())) {
-                throw error(node.position(), "all values in a " + containerName + " must have the same type, but this is " + node.type() + " and the first is "
-                    + nodes.get(0).type());
+                throw error(node.position(), "all values in a " + containerName + " must have the same type, but this is "
+                    + node.type() + " and the first is " + nodes.get(0).type());
             }
         }
     }
--- a/expression/src/test/java/ledgewall/expression/ExpressionEnvironmentTest.java
+++ b/expression/src/test/java/ledgewall/expression/ExpressionEnvironmentTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What expressions say, and what is refused before any request sees it. */
+/** Results of compiled expressions, and expressions that must be rejected at load. */
 class ExpressionEnvironmentTest {
     private final Schema schema = Schema.ofRequests();
 
@@ -93,26 +93,29 @@
     @CsvSource(delimiterString = " ~ ", quoteCharacter = '`', value = {
         "sql.keywrd == 'X' ~ 1:1: unknown name 'sql.keywrd'; did you mean 'sql.keyword'?",
         "user.startWith('x') ~ 1:6: unknown method 'startWith'; did you mean 'startsWith'?",
-        "true || user == 5 ~ 1:14: no '==' for string and int",
+        "true || user == 5 ~ 1:14: no overload of '==' for string and int",
         "false && 1 / 0 == 1 ~ 1:14: division by zero", "path.matches('(') ~ 1:14: no regular expression",
         "path.matches(user) ~ 1:14: the regular expression must be a constant",
-        "9223372036854775808 == 1 ~ 1:1: an integer beyond",
-        "1 + ~ 1:4: ends too early", "user = 'x' ~ 1:6: unexpected '='",
+        "9223372036854775808 == 1 ~ 1:1: the integer does not fit in 64 bits",
+        "1 + ~ 1:4: unexpected end of expression", "user = 'x' ~ 1:6: unexpected '='",
         "bucket(user, 0) == 0 ~ 1:14: a count of buckets under 1",
-        "duration('5 parsecs') > duration('1s') ~ 1:1: a constant that is an error: bad conversion",
-        "peer.address.inCidr('10.0.0.0/99') ~ 1:21: no address range", "user ? 1 : 2 ~ 1:1: a condition is a bool",
-        "true ? 1 : 'x' ~ 1:12: both branches have one type", "sql.tables.all(t, size(t)) ~ 1:19: 'all' asks a bool",
-        "sql.tables.all(t, sql.tables.all(t, true)) ~ 1:34: 't' is another", "[] == [] ~ 1:1: a list without",
-        "[1, 'a'] == [1] ~ 1:5: a list holds one type",
-        "'\\ud800' == 'x' ~ 1:1: an escape that is no character", "'abc ~ 1:1: unexpected",
-        "user.name == 'x' ~ 1:6: string has no part 'name'"})
+        "duration('5 parsecs') > duration('1s') ~ 1:1: this constant evaluates to an error: bad conversion",
+        "peer.address.inCidr('10.0.0.0/99') ~ 1:21: no address range", "user ? 1 : 2 ~ 1:1: a condition must be a bool",
+        "true ? 1 : 'x' ~ 1:12: both branches must have the same type",
+        "sql.tables.all(t, size(t)) ~ 1:19: the body of 'all' must be a bool",
+        "sql.tables.all(t, sql.tables.all(t, true)) ~ 1:34: 't' is already the variable of",
+        "[] == [] ~ 1:1: an empty list has no element type",
+        "[1, 'a'] == [1] ~ 1:5: all values in a list must have the same type",
+        "'\\ud800' == 'x' ~ 1:1: the escape is not a valid character", "'abc ~ 1:1: unexpected",
+        "user.name == 'x' ~ 1:6: string has no field 'name'"})
     void compileErrorHasMessageAndPosition(String source, String message) {
         ExpressionException exception = assertRejected(source);
         assertTrue(exception.getMessage().startsWith(message), exception.getMessage());
-        String[] shown = exception.formatWithSource("rules.hcl", source).split("\n");
-        assertEquals(exception.position().column() - 1 + 2, shown[2].indexOf('^'));
+        String[] lines = exception.formatWithSource("rules.hcl", source).split("\n");
+        assertEquals(exception.position().column() - 1 + 2, lines[2].indexOf('^'));
     }
 
+    /** Deep nesting, long chains, large regular expressions and growing strings must fail fast, without a stack overflow. */
     @Test
     void oversizedExpressionsAreRejectedWithinTheTimeout() {
         String list = "sql.tables";
@@ -137,6 +140,7 @@
         });
     }
 
+    /** Each definition uses the one before twice: the cost must grow linearly, but strings that double in size must be rejected. */
     @Test
     void chainedNamedExpressionsAreEvaluatedOnce() throws ExpressionException {
         ExpressionEnvironment environment = new ExpressionEnvironment(schema, Limits.DEFAULT);
@@ -159,7 +163,7 @@
         });
     }
 
-    /** A search that several conditions make is made once; a part that depends on an element stays where it is. */
+    /** A search in several conditions is shared; a subexpression that depends on a comprehension variable is not. */
     @Test
     void commonSubexpressionsAreSharedWithoutChangingResults() throws ExpressionException {
         ExpressionEnvironment environment = new ExpressionEnvironment(schema, Limits.DEFAULT);
@@ -181,7 +185,7 @@
         assertEquals(true, shared.get(0).requirements().size() == 1 && separate.get(0).covers(shared.get(0)));
     }
 
-    /** A frame that goes from one file's expressions to another's must not keep what the first has shared. */
+    /** Two environments use the same slots in a frame, so values that one has shared must not be read by the other. */
     @Test
     void sharedValuesAreNotReusedAcrossEnvironments() throws ExpressionException {
         Frame frame = bookingRequest();
@@ -194,7 +198,7 @@
         assertTrue(firstEnvironment.compile("a").matches(frame));
     }
 
-    /** Keys and buckets outlive versions: what they say may never change. */
+    /** Hashes decide on keys and buckets across versions of the router, so their values must never change. */
     @Test
     void hashValuesAreStable() throws ExpressionException {
         assertEquals(List.of(HASH_OF_STRING, HASH_OF_BYTES, HASH_OF_INT, HASH_OF_EMPTY_STRING), List.of(
--- a/expression/src/test/java/ledgewall/expression/ExpressionGenerator.java
+++ b/expression/src/test/java/ledgewall/expression/ExpressionGenerator.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 
-/** Random expressions that are mostly well typed, random damage to their sources, and random requests. */
+/** Generates random expressions that are mostly well typed, corrupts sources and generates random requests. */
 final class ExpressionGenerator {
     static final Schema SCHEMA = new Schema()
         .with("flag", Type.BOOL, Size.ONE, "")
@@ -57,7 +57,7 @@
 
     String expression(Type type, int depth) {
         if (oneIn(60)) {
-            return expression(randomType(), depth - 1); // a type error, most likely
+            return expression(randomType(), depth - 1); // most likely a type error
         }
         List<String> candidates = new ArrayList<>();
         for (int i = 0; i < variables.size(); i++) {
@@ -94,13 +94,15 @@
                 : "(" + expression(Type.TIMESTAMP, depth) + " + " + expression(Type.DURATION, depth) + ")";
             case LIST -> list(type, depth);
             case MAP -> "{'a': " + expression(type.element(), depth) + ", 'b': " + expression(type.element(), depth) + "}";
-            case OPTIONAL -> oneIn(2) ? expression(Type.mapOf(type.element()), depth) + "[?" + expression(Type.STRING, depth) + "]"
+            case OPTIONAL -> oneIn(2) ? expression(Type.mapOf(type.element()), depth) + "[?"
+                + expression(Type.STRING, depth) + "]"
                 : expression(Type.STRING, depth) + ".extract('" + REGEXES[random.nextInt(REGEXES.length)] + "')";
         };
     }
 
     private String binaryOperation(Type type, int depth, String... operators) {
-        return "(" + expression(type, depth) + " " + operators[random.nextInt(operators.length)] + " " + expression(type, depth) + ")";
+        return "(" + expression(type, depth) + " " + operators[random.nextInt(operators.length)] + " "
+            + expression(type, depth) + ")";
     }
 
     private String bool(int depth) {
@@ -166,7 +168,8 @@
             case 0 -> comprehension("filter", type.element(), Type.BOOL, depth);
             case 1 -> comprehension("map", pick(SCALARS), type.element(), depth);
             case 2 -> binaryOperation(type, depth, "+");
-            case 3 -> type.element() == Type.STRING ? expression(Type.STRING, depth) + ".split(" + expression(Type.STRING, depth) + ")"
+            case 3 -> type.element() == Type.STRING
+                ? expression(Type.STRING, depth) + ".split(" + expression(Type.STRING, depth) + ")"
                 : literal(type);
             default -> "[" + expression(type.element(), depth) + "]";
         };
@@ -187,7 +190,7 @@
         };
     }
 
-    /** Leaves out, doubles, swaps or puts in something. */
+    /** Deletes, duplicates, overwrites or inserts characters. */
     String corrupt(String source) {
         StringBuilder text = new StringBuilder(source);
         for (int edits = random.nextInt(3) + 1; edits > 0 && text.length() > 0; edits--) {
@@ -197,14 +200,14 @@
                 case 0 -> text.delete(start, end);
                 case 1 -> text.insert(start, text.substring(start, end));
                 case 2 -> text.setCharAt(start, (char) random.nextInt(oneIn(4) ? 0x10000 : 128));
-                default -> text.insert(start, pick(List.of("(", ")", "[", "]", "?", ":", ".", "&&", "!", "-", "'", "\\", "in", "1",
-                    "{")));
+                default -> text.insert(start, pick(List.of("(", ")", "[", "]", "?", ":", ".", "&&", "!", "-", "'", "\\", "in",
+                    "1", "{")));
             }
         }
         return text.toString();
     }
 
-    /** A request that lacks some attributes, and goes beyond the schema now and then. */
+    /** Generates a request without some of the attributes; a few values exceed the maximum sizes of the schema. */
     Frame randomRequest() {
         Frame frame = new Frame(SCHEMA);
         for (Schema.Attribute attribute : SCHEMA.attributes()) {
--- a/expression/src/test/java/ledgewall/expression/FuzzTest.java
+++ b/expression/src/test/java/ledgewall/expression/FuzzTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random expressions over random requests: nothing crashes, no evaluation takes more than its bound, a value has the type
- * and the size that were promised, and the compiled form says what the interpreter says. In CI some thousands from a fixed
- * seed; {@code -Dledgewall.fuzz=1000000 -Dledgewall.seed=7} for a long run.
+ * Evaluates random expressions for random requests. Nothing may crash, the cost must stay within its bound, the value must have
+ * the declared type and fit the maximum size, and compiled code must return what the interpreter returns. The default is 20,000
+ * expressions from a fixed seed; {@code -Dledgewall.fuzz=1000000 -Dledgewall.seed=7} makes a long run.
  */
 class FuzzTest {
     private static final Limits LIMITS = Limits.DEFAULT;
@@ -46,11 +46,11 @@
         }
         System.out.println(expressionCount + " expressions, seed " + seed + ", "
             + (System.nanoTime() - startNs) / 1_000_000_000 + " s: " + outcomeCounts);
-        assertEquals(expressionCount, outcomeCounts.get("accepted") + outcomeCounts.get("refused"));
-        assertTrue(outcomeCounts.get("accepted") > expressionCount / 4, "most of what is generated is to be worth evaluating");
+        assertEquals(expressionCount, outcomeCounts.get("accepted") + outcomeCounts.get("rejected"));
+        assertTrue(outcomeCounts.get("accepted") > expressionCount / 4, "more than a quarter of the expressions must compile");
     }
 
-    /** Conditions as rules have them, which become classes of their own: errors, negations and nesting in each mixture. */
+    /** Typical conditions of rules, which are compiled to bytecode: errors, negations and nesting in random combinations. */
     @Test
     void bytecodeConditionsMatchTheInterpreter() {
         SplittableRandom random = new SplittableRandom(13);
@@ -58,8 +58,9 @@
             String source = randomCondition(random, 3);
             checkExpression(source, new ExpressionGenerator(random.split()));
         }
-        assertEquals(5_000, outcomeCounts.get("accepted") + outcomeCounts.getOrDefault("refused", 0L));
-        assertTrue(outcomeCounts.get("value") > 5_000 && outcomeCounts.get("error: ABSENT") > 500 && outcomeCounts.get("error: NO_SUCH_KEY") > 500);
+        assertEquals(5_000, outcomeCounts.get("accepted") + outcomeCounts.getOrDefault("rejected", 0L));
+        assertTrue(outcomeCounts.get("value") > 5_000 && outcomeCounts.get("error: ABSENT") > 500
+            && outcomeCounts.get("error: NO_SUCH_KEY") > 500);
     }
 
     private static String randomCondition(SplittableRandom random, int depth) {
@@ -93,8 +94,9 @@
             program = environment.compile(source);
             shared = environment.shareCommonSubexpressions(List.of(program, environment.compile(source))).get(1);
         } catch (ExpressionException e) {
-            countOutcome("refused");
-            countOutcome("refused: " + e.reason().replaceAll("['\"0-9].*|[;:].*|,.*", "").trim().replaceAll("^(\\w+ \\w+).*", "$1"));
+            countOutcome("rejected");
+            countOutcome("rejected: " + e.reason().replaceAll("['\"0-9].*|[;:].*|,.*", "").trim()
+                .replaceAll("^(\\w+ \\w+).*", "$1"));
             assertTrue(e.formatWithSource("x", source).contains("^"));
             return;
         }
@@ -103,16 +105,19 @@
             Frame request = generator.randomRequest();
             Program.Counted interpreted = program.count(request);
             Object compiledValue = program.evaluate(request);
-            assertTrue(sameValue(interpreted.value(), compiledValue), () -> source + ": " + interpreted.value() + " and compiled " + compiledValue);
-            assertTrue(interpreted.cost().steps() <= program.cost().steps() && interpreted.cost().bytes() <= program.cost().bytes(),
+            assertTrue(sameValue(interpreted.value(), compiledValue),
+                () -> source + ": interpreted " + interpreted.value() + ", compiled " + compiledValue);
+            assertTrue(interpreted.cost().steps() <= program.cost().steps()
+                    && interpreted.cost().bytes() <= program.cost().bytes(),
                 () -> source + " took " + interpreted.cost() + ", bound " + program.cost());
-            assertTrue(sameValue(compiledValue, shared.evaluate(request)), () -> source + " is another value where it is shared");
+            assertTrue(sameValue(compiledValue, shared.evaluate(request)), () -> source + ": other value when shared");
             assertTrue(shared.count(request).cost().steps() <= shared.cost().steps(), source);
             countOutcome(compiledValue instanceof ErrorKind error ? "error: " + error : "value");
             if (!(compiledValue instanceof ErrorKind)) {
-                assertTrue(Values.fits(compiledValue, program.type()), () -> source + ": " + compiledValue + " is no " + program.type());
-                assertTrue(Values.within(Values.measure(compiledValue), program.size()), () -> source + ": " + compiledValue + " is larger than "
-                    + program.size());
+                assertTrue(Values.fits(compiledValue, program.type()),
+                    () -> source + ": " + compiledValue + " is not a value of " + program.type());
+                assertTrue(Values.within(Values.measure(compiledValue), program.size()),
+                    () -> source + ": " + compiledValue + " is larger than " + program.size());
             }
             if (program.type() == Type.BOOL) {
                 assertEquals(Boolean.TRUE.equals(compiledValue), program.matches(request), source);
@@ -120,7 +125,7 @@
         }
     }
 
-    /** Equal, NaN included, wherever it stands. */
+    /** Whether two values are equal; NaN equals itself, also inside a list, a map or an optional. */
     private static boolean sameValue(Object a, Object b) {
         return a.equals(b) || a.toString().equals(b.toString()) && a.getClass().equals(b.getClass()) || Values.equal(a, b);
     }
--- a/expression/src/test/java/ledgewall/expression/ReferenceTest.java
+++ b/expression/src/test/java/ledgewall/expression/ReferenceTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The reference page says what the code has: each line of its tables, no more and no less. */
+/** The tables of the reference page must have exactly the rows that are generated from the code, in the same order. */
 class ReferenceTest {
     @Test
     void pageTablesMatchTheCode() throws IOException {
