--- a/expression/src/main/java/ledgewall/expression/ExpressionEnvironment.java
+++ b/expression/src/main/java/ledgewall/expression/ExpressionEnvironment.java
@@ -77,7 +77,7 @@
     private GrammarParser.SourceContext parse(String source) throws ExpressionException {
         if (source.length() > limits.maxSourceChars()) {
             throw new ExpressionException(new Position(1, 1), "the expression has " + source.length()
-                + " characters; the limit is " + limits.maxSourceChars());
+                + " characters; at most " + limits.maxSourceChars() + " are allowed");
         }
         GrammarLexer lexer = new GrammarLexer(CharStreams.fromString(source));
         FirstErrorListener errorListener = new FirstErrorListener();
--- a/expression/src/main/java/ledgewall/expression/TypeChecker.java
+++ b/expression/src/main/java/ledgewall/expression/TypeChecker.java
@@ -344,7 +344,7 @@
             }
         }
         String signatures = candidates.stream().map(Function::signature).distinct().reduce((a, b) -> a + "; " + b).orElse("");
-        throw error(position, "no overload of '" + name + "' for "
+        throw error(position, "no '" + name + "' for "
             + types.stream().map(Type::toString).reduce((a, b) -> a + " and " + b).orElse("no arguments")
             + "; available: " + signatures);
     }
--- a/expression/src/test/java/ledgewall/expression/ExpressionEnvironmentTest.java
+++ b/expression/src/test/java/ledgewall/expression/ExpressionEnvironmentTest.java
@@ -93,7 +93,7 @@
     @CsvSource(delimiterString = " ~ ", quoteCharacter = '`', value = {
         "sql.keywrd == 'X' ~ 1:1: unknown name 'sql.keywrd'; did you mean 'sql.keyword'?",
         "user.startWith('x') ~ 1:6: unknown method 'startWith'; did you mean 'startsWith'?",
-        "true || user == 5 ~ 1:14: no overload of '==' for string and int",
+        "true || user == 5 ~ 1:14: no '==' for string and int",
         "false && 1 / 0 == 1 ~ 1:14: division by zero", "path.matches('(') ~ 1:14: no regular expression",
         "path.matches(user) ~ 1:14: the regular expression must be a constant",
         "9223372036854775808 == 1 ~ 1:1: the integer does not fit in 64 bits",
@@ -140,7 +140,7 @@
         });
     }
 
-    /** Each definition uses the one before twice: the cost must grow linearly, but strings that double in size must be rejected. */
+    /** Each definition uses the one before twice: the cost must grow linearly, but strings that double must be rejected. */
     @Test
     void chainedNamedExpressionsAreEvaluatedOnce() throws ExpressionException {
         ExpressionEnvironment environment = new ExpressionEnvironment(schema, Limits.DEFAULT);
--- a/expression/src/test/java/ledgewall/expression/FuzzTest.java
+++ b/expression/src/test/java/ledgewall/expression/FuzzTest.java
@@ -106,7 +106,7 @@
             Program.Counted interpreted = program.count(request);
             Object compiledValue = program.evaluate(request);
             assertTrue(sameValue(interpreted.value(), compiledValue),
-                () -> source + ": interpreted " + interpreted.value() + ", compiled " + compiledValue);
+                () -> source + ": " + interpreted.value() + " when interpreted, compiled: " + compiledValue);
             assertTrue(interpreted.cost().steps() <= program.cost().steps()
                     && interpreted.cost().bytes() <= program.cost().bytes(),
                 () -> source + " took " + interpreted.cost() + ", bound " + program.cost());
