--- a/expression/src/main/java/ledgewall/expression/CanonicalForm.java
+++ b/expression/src/main/java/ledgewall/expression/CanonicalForm.java
@@ -26,10 +26,10 @@
         } else if (node instanceof Node.SharedExpression shared) {
             return of(shared.body(), boundSlots);
         } else if (node instanceof Node.Comprehension comprehension) {
-            String range = of(comprehension.list(), boundSlots);
+            String list = of(comprehension.list(), boundSlots);
             List<Integer> boundInBody = new ArrayList<>(boundSlots);
             boundInBody.add(comprehension.slot());
-            return comprehension.macro() + "(" + range + "," + of(comprehension.body(), boundInBody) + ")";
+            return comprehension.macro() + "(" + list + "," + of(comprehension.body(), boundInBody) + ")";
         }
         String children = Cost.children(node).stream().map(child -> of(child, boundSlots)).collect(Collectors.joining(","));
         if (node instanceof Node.Call call) {
--- a/expression/src/main/java/ledgewall/expression/ExpressionEnvironment.java
+++ b/expression/src/main/java/ledgewall/expression/ExpressionEnvironment.java
@@ -64,14 +64,14 @@
         CommonSubexpressions subexpressions = new CommonSubexpressions(programs.stream().map(Program::node).toList(),
             namedExpressions.size());
         List<Node> nodes = programs.stream().map(program -> subexpressions.share(program.node())).toList();
-        List<Program> shared = new ArrayList<>();
+        List<Program> recompiled = new ArrayList<>();
         for (int i = 0; i < nodes.size(); i++) {
             Cost cost = Cost.of(nodes.get(i));
             boolean withinLimits = cost.steps() <= limits.maxSteps() && cost.bytes() <= limits.maxBytes();
-            shared.add(!withinLimits ? programs.get(i) : new Program(programs.get(i).source(), nodes.get(i), cost,
+            recompiled.add(!withinLimits ? programs.get(i) : new Program(programs.get(i).source(), nodes.get(i), cost,
                 compiler.compile(nodes.get(i)), subexpressions.slotCount(), variableSlots, this));
         }
-        return shared;
+        return recompiled;
     }
 
     private GrammarParser.SourceContext parse(String source) throws ExpressionException {
@@ -122,10 +122,10 @@
         }
     }
 
-    private static String describe(String text) {
-        int c = text.codePointAt(0);
-        return Character.isISOControl(c) || Character.isSurrogate(text.charAt(0)) && text.length() == 1
-            ? String.format("character U+%04X", c) : "'" + text + "'";
+    private static String describe(String token) {
+        int c = token.codePointAt(0);
+        return Character.isISOControl(c) || Character.isSurrogate(token.charAt(0)) && token.length() == 1
+            ? String.format("character U+%04X", c) : "'" + token + "'";
     }
 
     /** Aborts parsing at the first syntax error and keeps it. */
--- a/expression/src/test/java/ledgewall/expression/ExpressionEnvironmentTest.java
+++ b/expression/src/test/java/ledgewall/expression/ExpressionEnvironmentTest.java
@@ -108,9 +108,9 @@
         "[1, 'a'] == [1] ~ 1:5: all values in a list must have the same type",
         "'\\ud800' == 'x' ~ 1:1: the escape is not a valid character", "'abc ~ 1:1: unexpected",
         "user.name == 'x' ~ 1:6: string has no field 'name'"})
-    void compileErrorHasMessageAndPosition(String source, String message) {
+    void compileErrorHasMessageAndPosition(String source, String expectedPrefix) {
         ExpressionException exception = assertRejected(source);
-        assertTrue(exception.getMessage().startsWith(message), exception.getMessage());
+        assertTrue(exception.getMessage().startsWith(expectedPrefix), exception.getMessage());
         String[] lines = exception.formatWithSource("rules.hcl", source).split("\n");
         assertEquals(exception.position().column() - 1 + 2, lines[2].indexOf('^'));
     }
--- a/expression/src/test/java/ledgewall/expression/ExpressionGenerator.java
+++ b/expression/src/test/java/ledgewall/expression/ExpressionGenerator.java
@@ -22,7 +22,7 @@
         .with("counts", Type.listOf(Type.INT), Size.list(6, Size.ONE), "")
         .with("headers", Type.mapOf(Type.STRING), Size.map(5, 12, Size.chars(20)), "")
         .with("server", Type.optionalOf(Type.STRING), new Size(1, Size.chars(30), 0), "");
-    private static final List<Type> SCALARS = List.of(Type.BOOL, Type.INT, Type.DOUBLE, Type.STRING, Type.BYTES,
+    private static final List<Type> SCALAR_TYPES = List.of(Type.BOOL, Type.INT, Type.DOUBLE, Type.STRING, Type.BYTES,
         Type.DURATION, Type.TIMESTAMP);
     private static final String[] TEXTS = {"", "a", "facts", "book-bay", "Bay Status", "é\u0000ü", "😀", "10.1.2.3", "::1", "-42",
         "1.5e3", "2026-12-01T00:00:00Z", "90m", "a,b,,c", "9223372036854775808", "\ud800"};
@@ -31,7 +31,7 @@
     private static final String[] REGEXES = {"^a+", "b.*y", "[0-9]{1,3}", "(a|b)*c", "x(y)?", "^$", "(?i)BOOK"};
 
     private final SplittableRandom random;
-    private final List<String> variables = new ArrayList<>();
+    private final List<String> variableNames = new ArrayList<>();
     private final List<Type> variableTypes = new ArrayList<>();
 
     ExpressionGenerator(SplittableRandom random) {
@@ -48,10 +48,10 @@
 
     Type randomType() {
         return switch (random.nextInt(10)) {
-            case 0 -> Type.listOf(pick(SCALARS));
-            case 1 -> Type.mapOf(pick(SCALARS));
+            case 0 -> Type.listOf(pick(SCALAR_TYPES));
+            case 1 -> Type.mapOf(pick(SCALAR_TYPES));
             case 2 -> Type.optionalOf(Type.STRING);
-            default -> pick(SCALARS);
+            default -> pick(SCALAR_TYPES);
         };
     }
 
@@ -60,9 +60,9 @@
             return expression(randomType(), depth - 1); // most likely a type error
         }
         List<String> candidates = new ArrayList<>();
-        for (int i = 0; i < variables.size(); i++) {
+        for (int i = 0; i < variableNames.size(); i++) {
             if (variableTypes.get(i).equals(type)) {
-                candidates.add(variables.get(i));
+                candidates.add(variableNames.get(i));
             }
         }
         SCHEMA.attributes().stream().filter(a -> a.type().equals(type)).forEach(a -> candidates.add(a.name()));
@@ -81,18 +81,18 @@
 
     private String operationOfType(Type type, int depth) {
         return switch (type.kind()) {
-            case BOOL -> bool(depth);
-            case INT -> integer(depth);
+            case BOOL -> boolExpression(depth);
+            case INT -> intExpression(depth);
             case DOUBLE -> oneIn(2) ? "double(" + expression(oneIn(2) ? Type.INT : Type.STRING, depth) + ")"
                 : binaryOperation(Type.DOUBLE, depth, "+", "-", "*", "/");
-            case STRING -> string(depth);
+            case STRING -> stringExpression(depth);
             case BYTES -> "bytes(" + expression(Type.STRING, depth) + ")";
             case DURATION -> oneIn(2) ? "duration(" + expression(Type.STRING, depth) + ")"
                 : oneIn(2) ? "(" + expression(Type.TIMESTAMP, depth) + " - " + expression(Type.TIMESTAMP, depth) + ")"
                 : binaryOperation(Type.DURATION, depth, "+", "-");
             case TIMESTAMP -> oneIn(2) ? "timestamp(" + expression(Type.STRING, depth) + ")"
                 : "(" + expression(Type.TIMESTAMP, depth) + " + " + expression(Type.DURATION, depth) + ")";
-            case LIST -> list(type, depth);
+            case LIST -> listExpression(type, depth);
             case MAP -> "{'a': " + expression(type.element(), depth) + ", 'b': " + expression(type.element(), depth) + "}";
             case OPTIONAL -> oneIn(2) ? expression(Type.mapOf(type.element()), depth) + "[?"
                 + expression(Type.STRING, depth) + "]"
@@ -105,8 +105,8 @@
             + expression(type, depth) + ")";
     }
 
-    private String bool(int depth) {
-        Type type = pick(SCALARS);
+    private String boolExpression(int depth) {
+        Type type = pick(SCALAR_TYPES);
         return switch (random.nextInt(12)) {
             case 0 -> "!" + expression(Type.BOOL, depth);
             case 1, 2 -> binaryOperation(Type.BOOL, depth, "&&", "||");
@@ -125,16 +125,16 @@
 
     private String comprehension(String macro, Type element, Type result, int depth) {
         String list = expression(Type.listOf(element), depth);
-        String name = "v" + variables.size();
-        variables.add(name);
+        String variableName = "v" + variableNames.size();
+        variableNames.add(variableName);
         variableTypes.add(element);
         String body = expression(result, depth);
-        variables.remove(variables.size() - 1);
+        variableNames.remove(variableNames.size() - 1);
         variableTypes.remove(variableTypes.size() - 1);
-        return list + "." + macro + "(" + name + ", " + body + ")";
+        return list + "." + macro + "(" + variableName + ", " + body + ")";
     }
 
-    private String integer(int depth) {
+    private String intExpression(int depth) {
         return switch (random.nextInt(9)) {
             case 0 -> "size(" + expression(pick(List.of(Type.STRING, Type.BYTES, Type.listOf(Type.INT))), depth) + ")";
             case 1 -> "int(" + expression(oneIn(2) ? Type.STRING : Type.DOUBLE, depth) + ")";
@@ -148,9 +148,9 @@
         };
     }
 
-    private String string(int depth) {
+    private String stringExpression(int depth) {
         return switch (random.nextInt(9)) {
-            case 0 -> "string(" + expression(pick(SCALARS), depth) + ")";
+            case 0 -> "string(" + expression(pick(SCALAR_TYPES), depth) + ")";
             case 1 -> expression(Type.STRING, depth) + pick(List.of(".lowerAscii()", ".upperAscii()", ".trim()"));
             case 2 -> expression(Type.STRING, depth) + ".substring(" + expression(Type.INT, depth) + ")";
             case 3 -> expression(Type.STRING, depth) + ".replace(" + expression(Type.STRING, depth) + ", "
@@ -163,10 +163,10 @@
         };
     }
 
-    private String list(Type type, int depth) {
+    private String listExpression(Type type, int depth) {
         return switch (random.nextInt(5)) {
             case 0 -> comprehension("filter", type.element(), Type.BOOL, depth);
-            case 1 -> comprehension("map", pick(SCALARS), type.element(), depth);
+            case 1 -> comprehension("map", pick(SCALAR_TYPES), type.element(), depth);
             case 2 -> binaryOperation(type, depth, "+");
             case 3 -> type.element() == Type.STRING
                 ? expression(Type.STRING, depth) + ".split(" + expression(Type.STRING, depth) + ")"
