--- a/bench/src/main/java/ledgewall/bench/ExpressionBenchmark.java
+++ b/bench/src/main/java/ledgewall/bench/ExpressionBenchmark.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import ledgewall.expression.ExpressionException;
-import ledgewall.expression.Expressions;
+import ledgewall.expression.ExpressionEnvironment;
 import ledgewall.expression.Frame;
 import ledgewall.expression.Limits;
 import ledgewall.expression.Program;
@@ -43,7 +43,7 @@
     @Setup
     public void setUp() throws ExpressionException {
         Schema schema = Schema.ofRequests();
-        program = new Expressions(schema, Limits.USUAL).compile(CONDITION);
+        program = new ExpressionEnvironment(schema, Limits.DEFAULT).compile(CONDITION);
         keyword = "UPDATE";
         user = "kiosk-4711";
         path = "/v1/lots/songshan/bays";
--- a/bench/src/main/java/ledgewall/bench/RuleTableBenchmark.java
+++ b/bench/src/main/java/ledgewall/bench/RuleTableBenchmark.java
@@ -54,7 +54,7 @@
             };
             all.add(new Rule("r" + i, match, "c", Map.of(), null, null));
         }
-        table = RuleTable.of(schema, Limits.USUAL, Map.of(), all, Set.of("c"));
+        table = RuleTable.of(schema, Limits.DEFAULT, Map.of(), all, Set.of("c"));
         for (int i = 0; i < REQUESTS; i++) {
             int number = (int) (i * 2_654_435_761L % rules);
             Frame frame = new Frame(schema);
--- a/cli/src/main/java/ledgewall/cli/AttributeJson.java
+++ b/cli/src/main/java/ledgewall/cli/AttributeJson.java
@@ -29,7 +29,7 @@
                 Schema.Attribute attribute = schema.attribute(name);
                 if (attribute == null) {
                     throw new SettingsException(where + ": no attribute '" + name + "'; there are "
-                        + String.join(", ", schema.names()));
+                        + String.join(", ", schema.attributeNames()));
                 }
                 parser.nextToken();
                 frame.set(attribute, value(where + ": " + name, attribute.type(), parser));
@@ -63,7 +63,7 @@
             case LIST -> {
                 List<Object> list = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(name, type.of(), parser));
+                    list.add(value(name, type.element(), parser));
                 }
                 yield list;
             }
@@ -72,11 +72,11 @@
                 while (parser.nextToken() == JsonToken.FIELD_NAME) {
                     String key = parser.currentName();
                     parser.nextToken();
-                    map.put(key, value(name + "." + key, type.of(), parser));
+                    map.put(key, value(name + "." + key, type.element(), parser));
                 }
                 yield map;
             }
-            case OPTIONAL -> token == JsonToken.VALUE_NULL ? Optional.empty() : Optional.of(value(name, type.of(), parser));
+            case OPTIONAL -> token == JsonToken.VALUE_NULL ? Optional.empty() : Optional.of(value(name, type.element(), parser));
         };
     }
 
--- a/cli/src/main/java/ledgewall/cli/AttributeText.java
+++ b/cli/src/main/java/ledgewall/cli/AttributeText.java
@@ -8,7 +8,7 @@
 import ledgewall.expression.Bytes;
 import ledgewall.expression.ErrorKind;
 import ledgewall.expression.ExpressionException;
-import ledgewall.expression.Expressions;
+import ledgewall.expression.ExpressionEnvironment;
 import ledgewall.expression.Frame;
 import ledgewall.expression.Limits;
 import ledgewall.expression.Schema;
@@ -22,7 +22,7 @@
     static void set(Schema schema, Frame frame, String name, String text) throws SettingsException {
         Schema.Attribute attribute = schema.attribute(name);
         if (attribute == null) {
-            throw new SettingsException("no attribute '" + name + "'; there are " + String.join(", ", schema.names()));
+            throw new SettingsException("no attribute '" + name + "'; there are " + String.join(", ", schema.attributeNames()));
         }
         frame.set(attribute, value(name, attribute.type(), text));
     }
@@ -34,7 +34,7 @@
             case LIST -> {
                 List<Object> list = new ArrayList<>();
                 for (String part : text.isEmpty() ? new String[0] : text.split(",", -1)) {
-                    list.add(value(name, type.of(), part));
+                    list.add(value(name, type.element(), part));
                 }
                 yield list;
             }
@@ -45,11 +45,11 @@
                     if (equals < 0) {
                         throw new SettingsException("'" + name + "' is to be k=v,k=v");
                     }
-                    map.put(part.substring(0, equals), value(name, type.of(), part.substring(equals + 1)));
+                    map.put(part.substring(0, equals), value(name, type.element(), part.substring(equals + 1)));
                 }
                 yield map;
             }
-            case OPTIONAL -> text.isEmpty() ? Optional.empty() : Optional.of(value(name, type.of(), text));
+            case OPTIONAL -> text.isEmpty() ? Optional.empty() : Optional.of(value(name, type.element(), text));
             default -> read(name, type, text);
         };
     }
@@ -66,7 +66,7 @@
         };
         try {
             Schema none = new Schema();
-            Object value = new Expressions(none, Limits.USUAL).compile(source).evaluate(new Frame(none));
+            Object value = new ExpressionEnvironment(none, Limits.DEFAULT).compile(source).evaluate(new Frame(none));
             if (!(value instanceof ErrorKind)) {
                 return value;
             }
--- a/cli/src/main/java/ledgewall/cli/ExpressionCommand.java
+++ b/cli/src/main/java/ledgewall/cli/ExpressionCommand.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.Callable;
 import ledgewall.expression.ErrorKind;
 import ledgewall.expression.ExpressionException;
-import ledgewall.expression.Expressions;
+import ledgewall.expression.ExpressionEnvironment;
 import ledgewall.expression.Frame;
 import ledgewall.expression.Limits;
 import ledgewall.expression.Program;
@@ -37,9 +37,9 @@
 
     private static Program compile(Schema schema, String source) throws SettingsException {
         try {
-            return new Expressions(schema, Limits.USUAL).compile(source);
+            return new ExpressionEnvironment(schema, Limits.DEFAULT).compile(source);
         } catch (ExpressionException e) {
-            throw new SettingsException(e.show("expression", source));
+            throw new SettingsException(e.formatWithSource("expression", source));
         }
     }
 
@@ -119,7 +119,7 @@
             Program program = compile(schema, source);
             PrintWriter out = spec.commandLine().getOut();
             out.println("type:  " + program.type());
-            out.println("bound: " + program.cost() + " of " + Limits.USUAL.steps() + " and " + Limits.USUAL.bytes());
+            out.println("bound: " + program.cost() + " of " + Limits.DEFAULT.maxSteps() + " and " + Limits.DEFAULT.maxBytes());
             out.println("plan:");
             Reference.plan(program).forEach(line -> out.println("  " + line));
             out.println("index: " + (program.requirements().isEmpty() ? "none, it is tried for each request"
@@ -136,9 +136,9 @@
 
         @Override
         public Integer call() {
-            Reference.attributes(Schema.ofRequests()).forEach(spec.commandLine().getOut()::println);
+            Reference.attributeRows(Schema.ofRequests()).forEach(spec.commandLine().getOut()::println);
             spec.commandLine().getOut().println();
-            Reference.functions().forEach(spec.commandLine().getOut()::println);
+            Reference.functionRows().forEach(spec.commandLine().getOut()::println);
             return 0;
         }
     }
--- a/cli/src/main/java/ledgewall/cli/RulesFile.java
+++ b/cli/src/main/java/ledgewall/cli/RulesFile.java
@@ -76,9 +76,9 @@
 
     private static Limits limits(Hcl block) throws SettingsException {
         block.allow(Set.of("steps", "bytes"));
-        Limits usual = Limits.USUAL;
-        return new Limits(usual.source(), usual.tokens(), usual.nesting(), usual.depth(),
-            (long) block.number("steps", usual.steps()), (long) block.number("bytes", usual.bytes()));
+        Limits usual = Limits.DEFAULT;
+        return new Limits(usual.maxSourceChars(), usual.maxTokens(), usual.maxNesting(), usual.maxDepth(),
+            (long) block.number("steps", usual.maxSteps()), (long) block.number("bytes", usual.maxBytes()));
     }
 
     private static Rule rule(String name, Hcl block) throws SettingsException {
--- a/expression/src/main/java/ledgewall/expression/Bytecode.java
+++ b/expression/src/main/java/ledgewall/expression/Bytecode.java
@@ -64,20 +64,20 @@
     }
 
     /** The compiled form, or null where too little of it is plain. */
-    static Code of(Node.Logic logic, Compiler compiler) {
-        if (size(logic) > MOST_PARTS || logic.parts().stream().noneMatch(Bytecode::isPlain)) {
+    static Code of(Node.Logical logic, Compiler compiler) {
+        if (size(logic) > MOST_PARTS || logic.operands().stream().noneMatch(Bytecode::isPlain)) {
             return null;
         }
         return new Bytecode(compiler).make(logic);
     }
 
     private static int size(Node node) {
-        return node instanceof Node.Logic logic ? logic.parts().stream().mapToInt(Bytecode::size).sum() : 1;
+        return node instanceof Node.Logical logic ? logic.operands().stream().mapToInt(Bytecode::size).sum() : 1;
     }
 
     private static boolean isPlain(Node node) {
-        if (node instanceof Node.Logic logic) {
-            return logic.parts().stream().anyMatch(Bytecode::isPlain);
+        if (node instanceof Node.Logical logic) {
+            return logic.operands().stream().anyMatch(Bytecode::isPlain);
         }
         if (!(node instanceof Node.Call call)) {
             return false;
@@ -94,7 +94,7 @@
             && call.arguments().get(1) instanceof Node.Constant;
     }
 
-    private Code make(Node.Logic logic) {
+    private Code make(Node.Logical logic) {
         ClassWriter writer = new ClassWriter(ClassWriter.COMPUTE_FRAMES | ClassWriter.COMPUTE_MAXS) {
             @Override
             protected String getCommonSuperClass(String a, String b) {
@@ -159,7 +159,7 @@
 
     /** Leaves 0, 1 or {@link Code#ERROR} on the stack; turned round unless it is to hold. */
     private void emit(Node node, boolean holds) {
-        if (node instanceof Node.Logic logic) {
+        if (node instanceof Node.Logical logic) {
             logic(logic);
             turn(holds);
         } else if (node instanceof Node.Call call && call.function().name().equals("!")) {
@@ -194,14 +194,14 @@
         out.visitLabel(end);
     }
 
-    private void logic(Node.Logic logic) {
-        int decisive = logic.all() ? 0 : 1;
+    private void logic(Node.Logical logic) {
+        int decisive = logic.isConjunction() ? 0 : 1;
         int error = locals++;
         int value = locals++;
         Label end = new Label();
         out.visitInsn(ACONST_NULL);
         out.visitVarInsn(ASTORE, error);
-        for (Node part : logic.parts()) {
+        for (Node part : logic.operands()) {
             Label next = new Label();
             Label kept = new Label();
             Label undecided = new Label();
--- a/expression/src/main/java/ledgewall/expression/Compiler.java
+++ b/expression/src/main/java/ledgewall/expression/Compiler.java
@@ -32,28 +32,28 @@
             int slot = variable.slot();
             return ref(frame -> frame.variable(slot));
         }
-        if (node instanceof Node.Logic logic) {
+        if (node instanceof Node.Logical logic) {
             Code own = classes < MOST_CLASSES ? Bytecode.of(logic, this) : null;
             classes += own == null ? 0 : 1;
-            return own != null ? own : logic(logic.all(), compile(logic.parts()));
+            return own != null ? own : logic(logic.isConjunction(), compile(logic.operands()));
         }
-        if (node instanceof Node.Choice choice) {
-            return choice(choice, compile(choice.condition()), compile(choice.yes()), compile(choice.no()));
+        if (node instanceof Node.Conditional choice) {
+            return choice(choice, compile(choice.condition()), compile(choice.whenTrue()), compile(choice.whenFalse()));
         }
         if (node instanceof Node.Call call) {
             Code special = special(call);
-            return special != null ? special : general(call.function().body(), compile(call.arguments()));
+            return special != null ? special : general(call.function().implementation(), compile(call.arguments()));
         }
-        if (node instanceof Node.ListOf list) {
+        if (node instanceof Node.ListLiteral list) {
             return list(compile(list.elements()));
         }
-        if (node instanceof Node.MapOf map) {
+        if (node instanceof Node.MapLiteral map) {
             return map(map.keys(), compile(map.values()));
         }
-        if (node instanceof Node.Loop loop) {
-            return Loops.compile(loop.macro(), loop.slot(), compile(loop.range()), compile(loop.body()));
+        if (node instanceof Node.Comprehension loop) {
+            return Loops.compile(loop.macro(), loop.slot(), compile(loop.list()), compile(loop.body()));
         }
-        Node.Shared other = (Node.Shared) node;
+        Node.SharedExpression other = (Node.SharedExpression) node;
         Code body = shared.get(other.slot());
         if (body == null) {
             body = compile(other.body());
@@ -166,7 +166,7 @@
         };
     }
 
-    private static Code choice(Node.Choice node, Code condition, Code yes, Code no) {
+    private static Code choice(Node.Conditional node, Code condition, Code yes, Code no) {
         if (node.type() == Type.BOOL) {
             return test(frame -> {
                 int value = condition.bool(frame);
@@ -229,7 +229,7 @@
         });
     }
 
-    private static Code general(Function.Body body, Code[] parts) {
+    private static Code general(Function.Implementation body, Code[] parts) {
         return ref(frame -> {
             Object[] arguments = new Object[parts.length];
             for (int i = 0; i < parts.length; i++) {
--- a/expression/src/main/java/ledgewall/expression/Costs.java
+++ b/expression/src/main/java/ledgewall/expression/Costs.java
@@ -28,11 +28,11 @@
 
     /** Bytes of a new string. */
     static long string(long chars) {
-        return Size.plus(2 * Size.OBJECT, Size.times(2, chars));
+        return Size.plus(2 * Size.OBJECT_BYTES, Size.times(2, chars));
     }
 
     /** Bytes of a new list or map without what it holds. */
     static long container(long count) {
-        return Size.plus(4 * Size.OBJECT, Size.times(count, Size.OBJECT + Size.REFERENCE));
+        return Size.plus(4 * Size.OBJECT_BYTES, Size.times(count, Size.OBJECT_BYTES + Size.REFERENCE_BYTES));
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Functions.java
+++ b/expression/src/main/java/ledgewall/expression/Functions.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import ledgewall.expression.Function.Body;
-import ledgewall.expression.Function.Check;
+import ledgewall.expression.Function.Implementation;
+import ledgewall.expression.Function.ConstantCheck;
 import ledgewall.expression.Function.Form;
-import ledgewall.expression.Function.Pricing;
-import ledgewall.expression.Function.Sizing;
-import ledgewall.expression.Function.Typing;
+import ledgewall.expression.Function.CostFormula;
+import ledgewall.expression.Function.SizeRule;
+import ledgewall.expression.Function.TypeRule;
 import ledgewall.expression.Type.Kind;
 
 /** Every function, method and operator of the language; what is not here is not in it. */
@@ -24,12 +24,12 @@
     /** Characters of the longest number, duration, timestamp or address, written out. */
     private static final long WRITTEN = 64;
 
-    private static final Sizing FIXED = sizes -> Size.ONE;
-    private static final Pricing ONE_STEP = (sizes, result) -> 1;
-    private static final Pricing NOTHING = (sizes, result) -> 0;
-    private static final Pricing ONE_OBJECT = (sizes, result) -> Size.OBJECT;
-    private static final Pricing RESULT = (sizes, result) -> Costs.string(result.count());
-    private static final Check ANY = constants -> null;
+    private static final SizeRule FIXED = sizes -> Size.ONE;
+    private static final CostFormula ONE_STEP = (sizes, result) -> 1;
+    private static final CostFormula NOTHING = (sizes, result) -> 0;
+    private static final CostFormula ONE_OBJECT = (sizes, result) -> Size.OBJECT_BYTES;
+    private static final CostFormula RESULT = (sizes, result) -> Costs.string(result.count());
+    private static final ConstantCheck ANY = constants -> null;
 
     private static final Map<String, List<Function>> ALL = new LinkedHashMap<>();
 
@@ -59,12 +59,12 @@
         ALL.computeIfAbsent(function.form() + function.name(), key -> new ArrayList<>()).add(function);
     }
 
-    private static Typing exactly(Type result, Type... parameters) {
+    private static TypeRule exactly(Type result, Type... parameters) {
         List<Type> wanted = List.of(parameters);
         return arguments -> arguments.equals(wanted) ? result : null;
     }
 
-    private static Pricing walkShorter(int part) {
+    private static CostFormula walkShorter(int part) {
         return (sizes, result) -> Costs.chars(Math.min(sizes.get(0).count(), sizes.get(1).count())) + part;
     }
 
@@ -91,7 +91,7 @@
             (s, result) -> Costs.chars(result.count()), RESULT, a -> (String) a[0] + a[1], ANY));
         add(new Function("+", Form.OPERATOR, "list(T), list(T): list(T)", "one after the other", "1 and its elements",
             t -> t.get(0).kind() == Kind.LIST && t.get(0).equals(t.get(1)) ? t.get(0) : null,
-            s -> Size.list(Size.plus(s.get(0).count(), s.get(1).count()), s.get(0).of().or(s.get(1).of())),
+            s -> Size.list(Size.plus(s.get(0).count(), s.get(1).count()), s.get(0).element().max(s.get(1).element())),
             (s, result) -> Size.plus(1, result.count()), (s, result) -> Costs.container(result.count()), a -> {
                 List<Object> both = new ArrayList<>((List<?>) a[0]);
                 both.addAll((List<?>) a[1]);
@@ -99,7 +99,7 @@
             }, ANY));
         add(new Function("in", Form.OPERATOR, "T, list(T): bool", "whether a list holds a value",
             "1 and each comparison; in a list of constants as much",
-            t -> t.get(1).kind() == Kind.LIST && t.get(0).equals(t.get(1).of()) ? Type.BOOL : null, FIXED,
+            t -> t.get(1).kind() == Kind.LIST && t.get(0).equals(t.get(1).element()) ? Type.BOOL : null, FIXED,
             (s, result) -> Size.plus(1, Size.times(s.get(1).count(), walked(s.get(0)))), NOTHING, a -> {
                 for (Object element : (List<?>) a[1]) {
                     if (Values.equal(a[0], element)) {
@@ -116,8 +116,8 @@
 
     private static long walked(Size size) {
         long own = Costs.chars(size.count());
-        return size.of() == null ? own
-            : Size.plus(1, Size.times(size.count(), Size.plus(walked(size.of()), Costs.chars(size.key()))));
+        return size.element() == null ? own
+            : Size.plus(1, Size.times(size.count(), Size.plus(walked(size.element()), Costs.chars(size.keyChars()))));
     }
 
     private interface Order {
@@ -145,7 +145,7 @@
         double of(double a, double b);
     }
 
-    private static Body exact(LongOperation operation) {
+    private static Implementation exact(LongOperation operation) {
         return a -> {
             try {
                 return operation.of((Long) a[0], (Long) a[1]);
@@ -204,13 +204,14 @@
 
     private static void indexes() {
         add(new Function("[]", Form.OPERATOR, "map(string, T), string: T", "the value of a key; an error if it has none",
-            "1 and a 16th of the key", t -> t.get(0).kind() == Kind.MAP && t.get(1) == Type.STRING ? t.get(0).of() : null,
-            s -> s.get(0).of(), (s, result) -> Costs.chars(s.get(1).count()), NOTHING, a -> {
+            "1 and a 16th of the key", t -> t.get(0).kind() == Kind.MAP && t.get(1) == Type.STRING ? t.get(0).element() : null,
+            s -> s.get(0).element(), (s, result) -> Costs.chars(s.get(1).count()), NOTHING, a -> {
                 Object value = ((Map<?, ?>) a[0]).get(a[1]);
                 return value == null ? ErrorKind.NO_SUCH_KEY : value;
             }, ANY));
         add(new Function("[]", Form.OPERATOR, "list(T), int: T", "the element, counted from 0; an error beyond them", "1",
-            t -> t.get(0).kind() == Kind.LIST && t.get(1) == Type.INT ? t.get(0).of() : null, s -> s.get(0).of(), ONE_STEP,
+            t -> t.get(0).kind() == Kind.LIST && t.get(1) == Type.INT ? t.get(0).element() : null,
+            s -> s.get(0).element(), ONE_STEP,
             NOTHING, a -> {
                 List<?> list = (List<?>) a[0];
                 long at = (Long) a[1];
@@ -218,12 +219,12 @@
             }, c -> c[1] instanceof Long at && at < 0 ? "elements are counted from 0" : null));
         add(new Function("[?]", Form.OPERATOR, "map(string, T), string: optional(T)", "the value of a key, if it has one",
             "1 and a 16th of the key",
-            t -> t.get(0).kind() == Kind.MAP && t.get(1) == Type.STRING ? Type.optionalOf(t.get(0).of()) : null,
-            s -> new Size(1, s.get(0).of(), 0), (s, result) -> Costs.chars(s.get(1).count()), ONE_OBJECT,
+            t -> t.get(0).kind() == Kind.MAP && t.get(1) == Type.STRING ? Type.optionalOf(t.get(0).element()) : null,
+            s -> new Size(1, s.get(0).element(), 0), (s, result) -> Costs.chars(s.get(1).count()), ONE_OBJECT,
             a -> Optional.ofNullable(((Map<?, ?>) a[0]).get(a[1])), ANY));
         add(new Function("[?]", Form.OPERATOR, "list(T), int: optional(T)", "the element, if there is one", "1",
-            t -> t.get(0).kind() == Kind.LIST && t.get(1) == Type.INT ? Type.optionalOf(t.get(0).of()) : null,
-            s -> new Size(1, s.get(0).of(), 0), ONE_STEP, ONE_OBJECT, a -> {
+            t -> t.get(0).kind() == Kind.LIST && t.get(1) == Type.INT ? Type.optionalOf(t.get(0).element()) : null,
+            s -> new Size(1, s.get(0).element(), 0), ONE_STEP, ONE_OBJECT, a -> {
                 List<?> list = (List<?>) a[0];
                 long at = (Long) a[1];
                 return at < 0 || at >= list.size() ? Optional.empty() : Optional.of(list.get((int) at));
@@ -236,7 +237,7 @@
         Object of(String text, String other);
     }
 
-    private static void test(String name, String meaning, String cost, Pricing steps, Two body) {
+    private static void test(String name, String meaning, String cost, CostFormula steps, Two body) {
         add(new Function(name, Form.METHOD, "string.(string): bool", meaning, cost,
             exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED, steps, NOTHING,
             a -> body.of((String) a[0], (String) a[1]), ANY));
@@ -252,15 +253,15 @@
         }
         test("startsWith", "whether it begins so", "1 and a 16th of the shorter", walkShorter(0), String::startsWith);
         test("endsWith", "whether it ends so", "1 and a 16th of the shorter", walkShorter(0), String::endsWith);
-        Pricing search = (s, result) -> Costs.search(s.get(0).count(), s.get(1).count());
+        CostFormula search = (s, result) -> Costs.search(s.get(0).count(), s.get(1).count());
         test("contains", "whether the other stands anywhere in it", "a 16th of the other at each place", search,
             String::contains);
         add(new Function("indexOf", Form.METHOD, "string.(string): int", "where the other stands first, or -1",
             "a 16th of the other at each place", exactly(Type.INT, Type.STRING, Type.STRING), FIXED, search, ONE_OBJECT,
             a -> (long) ((String) a[0]).indexOf((String) a[1]), ANY));
         patterns();
-        Pricing walk = (s, result) -> Costs.chars(s.get(0).count());
-        Sizing same = s -> s.get(0);
+        CostFormula walk = (s, result) -> Costs.chars(s.get(0).count());
+        SizeRule same = s -> s.get(0);
         for (boolean upper : new boolean[] {false, true}) {
             add(new Function(upper ? "upperAscii" : "lowerAscii", Form.METHOD, "string.(): string",
                 (upper ? "A to Z for a to z" : "a to z for A to Z") + ", all else as it is", "1 and a 16th",
@@ -290,9 +291,9 @@
     }
 
     private static void patterns() {
-        Check check = c -> c[1] == null ? "the regular expression must be a constant" : c[1] instanceof String source
+        ConstantCheck check = c -> c[1] == null ? "the regular expression must be a constant" : c[1] instanceof String source
             ? problem(source) : null;
-        Pricing match = (s, result) -> Costs.match(s.get(0).count(), s.get(1).count());
+        CostFormula match = (s, result) -> Costs.match(s.get(0).count(), s.get(1).count());
         add(new Function("matches", Form.METHOD, "string.(regex): bool", "whether a part of it matches; ^ and $ tie it",
             "a 16th of the compiled program for each character", exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED, match,
             (s, result) -> Costs.container(s.get(1).count()), a -> pattern(a[1]).matcher((String) a[0]).find(), check));
@@ -330,15 +331,15 @@
     }
 
     private static void parts() {
-        Check from = c -> c[1] instanceof Long at && at < 0 ? "characters are counted from 0" : null;
-        Body cut = a -> {
+        ConstantCheck from = c -> c[1] instanceof Long at && at < 0 ? "characters are counted from 0" : null;
+        Implementation cut = a -> {
             String text = (String) a[0];
             long start = (Long) a[1];
             long end = a.length > 2 ? (Long) a[2] : text.length();
             return start < 0 || end > text.length() || start > end ? ErrorKind.OUT_OF_RANGE
                 : text.substring((int) start, (int) end);
         };
-        Pricing walk = (s, result) -> Costs.chars(s.get(0).count());
+        CostFormula walk = (s, result) -> Costs.chars(s.get(0).count());
         add(new Function("substring", Form.METHOD, "string.(int): string", "from that character on, counted from 0",
             "1 and a 16th", exactly(Type.STRING, Type.STRING, Type.INT), s -> s.get(0), walk, RESULT, cut, from));
         add(new Function("substring", Form.METHOD, "string.(int, int): string", "from the first to before the second",
@@ -357,7 +358,7 @@
         add(new Function("join", Form.METHOD, "list(string).(string): string", "its elements with the second between them",
             "1, a step an element and a 16th of the result",
             exactly(Type.STRING, Type.listOf(Type.STRING), Type.STRING),
-            s -> Size.chars(Size.times(s.get(0).count(), Size.plus(s.get(0).of().count(), s.get(1).count()))),
+            s -> Size.chars(Size.times(s.get(0).count(), Size.plus(s.get(0).element().count(), s.get(1).count()))),
             (s, result) -> Size.plus(s.get(0).count(), Costs.chars(result.count())),
             (s, result) -> Size.times(2, Costs.string(result.count())),
             a -> String.join((String) a[1], strings((List<?>) a[0])), ANY));
@@ -381,14 +382,14 @@
 
     // ---- Conversions
 
-    private static void convert(String name, Type from, Type to, String meaning, Sizing sizing, Body body) {
+    private static void convert(String name, Type from, Type to, String meaning, SizeRule sizing, Implementation body) {
         add(new Function(name, Form.FUNCTION, from + ": " + to, meaning, "1 and a 16th of both", exactly(to, from), sizing,
             (s, result) -> Size.plus(Costs.chars(s.get(0).count()), Costs.chars(result.count())),
             (s, result) -> Size.plus(Costs.string(s.get(0).count()), Costs.string(result.count())), body, ANY));
     }
 
     private static void conversions() {
-        Sizing written = s -> Size.chars(WRITTEN);
+        SizeRule written = s -> Size.chars(WRITTEN);
         convert("int", Type.STRING, Type.INT, "a decimal number, with or without a sign", FIXED, a -> Texts.toInt((String) a[0]));
         convert("int", Type.DOUBLE, Type.INT, "without its fraction", FIXED, a -> {
             double value = (Double) a[0];
@@ -439,20 +440,20 @@
         for (Type type : List.of(Type.STRING, Type.BYTES, Type.INT)) {
             add(new Function("hash", Form.FUNCTION, type + ": int", "XXH3 of 64 bits; the same in every version",
                 "1 and a 16th", exactly(Type.INT, type), FIXED, (s, result) -> Costs.chars(s.get(0).count()),
-                (s, result) -> 4 * Size.OBJECT, a -> Texts.hash(a[0]), ANY));
+                (s, result) -> 4 * Size.OBJECT_BYTES, a -> Texts.hash(a[0]), ANY));
             add(new Function("bucket", Form.FUNCTION, type + ", int: int",
                 "the hash, taken as unsigned, modulo the second: 0 to one less; an error if that is under 1", "1 and a 16th",
                 exactly(Type.INT, type, Type.INT), FIXED, (s, result) -> Costs.chars(s.get(0).count()),
-                (s, result) -> 4 * Size.OBJECT, a -> (Long) a[1] < 1 ? ErrorKind.OUT_OF_RANGE
+                (s, result) -> 4 * Size.OBJECT_BYTES, a -> (Long) a[1] < 1 ? ErrorKind.OUT_OF_RANGE
                     : (Object) Long.remainderUnsigned(Texts.hash(a[0]), (Long) a[1]),
                 c -> c[1] instanceof Long count && count < 1 ? "a count of buckets under 1" : null));
         }
-        Check range = c -> c[1] == null ? "the address range must be a constant"
+        ConstantCheck range = c -> c[1] == null ? "the address range must be a constant"
             : c[1] instanceof String text && Texts.range(text) == null ? "no address range: '" + text + "'" : null;
         add(new Function("inCidr", Form.METHOD, "string.(range): bool",
             "whether an IPv4 or IPv6 address lies in a range such as 10.0.0.0/8; an error if it is no address", "10",
             exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED, (s, result) -> 10,
-            (s, result) -> 100 * Size.OBJECT, a -> Texts.inRange((String) a[0], a[1]), range));
+            (s, result) -> 100 * Size.OBJECT_BYTES, a -> Texts.inRange((String) a[0], a[1]), range));
         for (boolean least : new boolean[] {true, false}) {
             add(new Function(least ? "min" : "max", Form.FUNCTION, "T, T: T, T int, duration or timestamp",
                 least ? "the smaller" : "the larger", "1",
@@ -467,11 +468,11 @@
             t -> t.size() == 1 && t.get(0).kind() == Kind.OPTIONAL ? Type.BOOL : null, FIXED, ONE_STEP, NOTHING,
             a -> ((Optional<?>) a[0]).isPresent(), ANY));
         add(new Function("value", Form.METHOD, "optional(T).(): T", "the value; an error if there is none", "1",
-            t -> t.size() == 1 && t.get(0).kind() == Kind.OPTIONAL ? t.get(0).of() : null, s -> s.get(0).of(), ONE_STEP,
+            t -> t.size() == 1 && t.get(0).kind() == Kind.OPTIONAL ? t.get(0).element() : null, s -> s.get(0).element(), ONE_STEP,
             NOTHING, a -> ((Optional<?>) a[0]).isPresent() ? ((Optional<?>) a[0]).get() : ErrorKind.ABSENT, ANY));
         add(new Function("orValue", Form.METHOD, "optional(T).(T): T", "the value, or the second if there is none", "1",
-            t -> t.size() == 2 && t.get(0).kind() == Kind.OPTIONAL && t.get(1).equals(t.get(0).of()) ? t.get(1) : null,
-            s -> s.get(0).of().or(s.get(1)), ONE_STEP, NOTHING,
+            t -> t.size() == 2 && t.get(0).kind() == Kind.OPTIONAL && t.get(1).equals(t.get(0).element()) ? t.get(1) : null,
+            s -> s.get(0).element().max(s.get(1)), ONE_STEP, NOTHING,
             a -> ((Optional<?>) a[0]).isPresent() ? ((Optional<?>) a[0]).get() : a[1], ANY));
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Interpreter.java
+++ b/expression/src/main/java/ledgewall/expression/Interpreter.java
@@ -40,16 +40,16 @@
         if (node instanceof Node.Call call) {
             return call(call);
         }
-        if (node instanceof Node.Logic logic) {
+        if (node instanceof Node.Logical logic) {
             return logic(logic);
         }
-        if (node instanceof Node.Loop loop) {
+        if (node instanceof Node.Comprehension loop) {
             return loop(loop);
         }
-        if (node instanceof Node.ListOf list) {
+        if (node instanceof Node.ListLiteral list) {
             return list(list.elements());
         }
-        if (node instanceof Node.MapOf map) {
+        if (node instanceof Node.MapLiteral map) {
             Object values = list(map.values());
             return Values.isError(values) ? values : map(map.keys(), (List<?>) values);
         }
@@ -63,15 +63,15 @@
         if (node instanceof Node.Variable variable) {
             return variables[variable.slot()];
         }
-        if (node instanceof Node.Shared other) {
+        if (node instanceof Node.SharedExpression other) {
             if (!shared.containsKey(other.slot())) {
                 shared.put(other.slot(), value(other.body()));
             }
             return shared.get(other.slot());
         }
-        Node.Choice choice = (Node.Choice) node;
+        Node.Conditional choice = (Node.Conditional) node;
         Object condition = value(choice.condition());
-        return Values.isError(condition) ? condition : value((Boolean) condition ? choice.yes() : choice.no());
+        return Values.isError(condition) ? condition : value((Boolean) condition ? choice.whenTrue() : choice.whenFalse());
     }
 
     private Object call(Node.Call call) {
@@ -83,24 +83,24 @@
                 return arguments[i];
             }
         }
-        Object result = call.function().body().of(arguments);
+        Object result = call.function().implementation().of(arguments);
         List<Size> sizes = Arrays.stream(arguments).map(Values::measure).toList();
-        take(Cost.own(call.function(), sizes, Values.isError(result) ? NOTHING : Values.measure(result)));
+        take(Cost.ofCall(call.function(), sizes, Values.isError(result) ? NOTHING : Values.measure(result)));
         return result;
     }
 
-    private Object logic(Node.Logic logic) {
+    private Object logic(Node.Logical logic) {
         steps++;
         Object error = null;
-        for (Node part : logic.parts()) {
+        for (Node part : logic.operands()) {
             Object value = value(part);
             if (Values.isError(value)) {
                 error = error == null ? value : error;
-            } else if ((Boolean) value != logic.all()) {
+            } else if ((Boolean) value != logic.isConjunction()) {
                 return value;
             }
         }
-        return error != null ? error : (Object) logic.all();
+        return error != null ? error : (Object) logic.isConjunction();
     }
 
     private Object list(List<Node> elements) {
@@ -112,7 +112,7 @@
             }
             values.add(value);
         }
-        take(Cost.container(values.size()));
+        take(Cost.ofContainer(values.size()));
         return values;
     }
 
@@ -124,14 +124,14 @@
         return map;
     }
 
-    private Object loop(Node.Loop loop) {
-        Object range = value(loop.range());
+    private Object loop(Node.Comprehension loop) {
+        Object range = value(loop.list());
         if (Values.isError(range)) {
             steps++;
             return range;
         }
         List<?> list = (List<?>) range;
-        take(Cost.loop(loop.macro(), list.size()));
+        take(Cost.ofComprehension(loop.macro(), list.size()));
         return switch (loop.macro()) {
             case ALL, EXISTS -> decide(loop, list, loop.macro() == Node.Macro.ALL);
             case EXISTS_ONE -> count(loop, list);
@@ -139,13 +139,13 @@
         };
     }
 
-    private Object body(Node.Loop loop, Object element) {
+    private Object body(Node.Comprehension loop, Object element) {
         steps++;
         variables[loop.slot()] = element;
         return value(loop.body());
     }
 
-    private Object decide(Node.Loop loop, List<?> list, boolean all) {
+    private Object decide(Node.Comprehension loop, List<?> list, boolean all) {
         Object error = null;
         for (Object element : list) {
             Object value = body(loop, element);
@@ -158,7 +158,7 @@
         return error != null ? error : (Object) all;
     }
 
-    private Object count(Node.Loop loop, List<?> list) {
+    private Object count(Node.Comprehension loop, List<?> list) {
         int count = 0;
         for (Object element : list) {
             Object value = body(loop, element);
@@ -170,7 +170,7 @@
         return count == 1;
     }
 
-    private Object collect(Node.Loop loop, List<?> list) {
+    private Object collect(Node.Comprehension loop, List<?> list) {
         List<Object> all = new ArrayList<>();
         for (Object element : list) {
             Object value = body(loop, element);
--- a/expression/src/main/java/ledgewall/expression/Program.java
+++ b/expression/src/main/java/ledgewall/expression/Program.java
@@ -60,11 +60,11 @@
      */
     public boolean covers(Program other) {
         Set<String> said = new HashSet<>();
-        Requirement.conjuncts(other.node).forEach(part -> said.add(Canonical.of(part)));
+        Requirement.conjuncts(other.node).forEach(part -> said.add(CanonicalForm.of(part)));
         List<Requirement> required = other.requirements();
         for (Node part : Requirement.conjuncts(node)) {
             List<Requirement> plain = Requirement.of(part);
-            boolean follows = said.contains(Canonical.of(part)) || isTrue(part)
+            boolean follows = said.contains(CanonicalForm.of(part)) || isTrue(part)
                 || plain.size() == 1 && required.stream().anyMatch(r -> r.implies(plain.get(0)));
             if (!follows) {
                 return false;
--- a/expression/src/main/java/ledgewall/expression/Values.java
+++ b/expression/src/main/java/ledgewall/expression/Values.java
@@ -83,7 +83,7 @@
         Size largest = null;
         for (Object value : values) {
             Size size = measure(value);
-            largest = largest == null ? size : largest.or(size);
+            largest = largest == null ? size : largest.max(size);
         }
         return largest == null ? new Size(0, null, 0) : largest;
     }
@@ -96,16 +96,18 @@
             case DOUBLE -> value instanceof Double;
             case STRING -> value instanceof String;
             case BYTES -> value instanceof Bytes;
-            case LIST -> value instanceof List<?> list && list.stream().allMatch(v -> fits(v, type.of()));
+            case LIST -> value instanceof List<?> list && list.stream().allMatch(v -> fits(v, type.element()));
             case MAP -> value instanceof Map<?, ?> map && map.entrySet().stream()
-                .allMatch(e -> e.getKey() instanceof String && fits(e.getValue(), type.of()));
-            case OPTIONAL -> value instanceof Optional<?> optional && (optional.isEmpty() || fits(optional.get(), type.of()));
+                .allMatch(e -> e.getKey() instanceof String && fits(e.getValue(), type.element()));
+            case OPTIONAL -> value instanceof Optional<?> optional
+                && (optional.isEmpty() || fits(optional.get(), type.element()));
         };
     }
 
     /** Whether a value is no larger than a bound. */
     static boolean within(Size size, Size bound) {
-        return size.count() <= bound.count() && size.key() <= bound.key()
-            && (size.of() == null || bound.of() == null || size.count() == 0 || within(size.of(), bound.of()));
+        return size.count() <= bound.count() && size.keyChars() <= bound.keyChars()
+            && (size.element() == null || bound.element() == null || size.count() == 0
+                || within(size.element(), bound.element()));
     }
 }
--- a/expression/src/main/java/ledgewall/rules/RuleException.java
+++ b/expression/src/main/java/ledgewall/rules/RuleException.java
@@ -24,7 +24,7 @@
 
     /** The message, with the line of the expression and a caret where it is about one. */
     public String show() {
-        return getCause() instanceof ExpressionException e ? e.show(where, source) : getMessage();
+        return getCause() instanceof ExpressionException e ? e.formatWithSource(where, source) : getMessage();
     }
 
     /** The place in the expression, or null where it is about something else. */
--- a/expression/src/main/java/ledgewall/rules/RuleIndex.java
+++ b/expression/src/main/java/ledgewall/rules/RuleIndex.java
@@ -72,7 +72,7 @@
         for (Requirement one : all) {
             double shared = one.values() != null
                 ? one.values().stream().mapToInt(v -> popular.get(one.subject()).get(v)).max().orElse(0)
-                : one.prefix() != null ? 1e6 - one.prefix().length() : one.most() - one.least() < 0 ? 4e6 : 2e6;
+                : one.prefix() != null ? 1e6 - one.prefix().length() : one.max() - one.min() < 0 ? 4e6 : 2e6;
             if (shared < least) {
                 least = shared;
                 best = one;
@@ -111,18 +111,18 @@
     private static void spans(Shelf shelf, List<Integer> rules, Requirement[] chosen) {
         TreeSet<Long> cuts = new TreeSet<>(List.of(Long.MIN_VALUE));
         for (int rule : rules) {
-            cuts.add(chosen[rule].least());
-            if (chosen[rule].most() < Long.MAX_VALUE) {
-                cuts.add(chosen[rule].most() + 1);
+            cuts.add(chosen[rule].min());
+            if (chosen[rule].max() < Long.MAX_VALUE) {
+                cuts.add(chosen[rule].max() + 1);
             }
         }
         shelf.starts = cuts.stream().mapToLong(Long::longValue).toArray();
         int leaves = Integer.highestOneBit(Math.max(1, shelf.starts.length - 1)) * 2;
         shelf.spans = new int[2 * leaves][];
         for (int rule : rules) {
-            int from = Arrays.binarySearch(shelf.starts, chosen[rule].least()) + leaves;
-            int to = chosen[rule].most() == Long.MAX_VALUE ? shelf.starts.length + leaves
-                : Arrays.binarySearch(shelf.starts, chosen[rule].most() + 1) + leaves;
+            int from = Arrays.binarySearch(shelf.starts, chosen[rule].min()) + leaves;
+            int to = chosen[rule].max() == Long.MAX_VALUE ? shelf.starts.length + leaves
+                : Arrays.binarySearch(shelf.starts, chosen[rule].max() + 1) + leaves;
             for (; from < to; from /= 2, to /= 2) {
                 if (from % 2 == 1) {
                     put(shelf.spans, from++, rule);
--- a/expression/src/main/java/ledgewall/rules/RuleTable.java
+++ b/expression/src/main/java/ledgewall/rules/RuleTable.java
@@ -9,7 +9,7 @@
 import ledgewall.expression.Cost;
 import ledgewall.expression.ErrorKind;
 import ledgewall.expression.ExpressionException;
-import ledgewall.expression.Expressions;
+import ledgewall.expression.ExpressionEnvironment;
 import ledgewall.expression.Frame;
 import ledgewall.expression.Limits;
 import ledgewall.expression.Program;
@@ -51,7 +51,7 @@
      */
     public static RuleTable of(Schema schema, Limits limits, Map<String, String> named, List<Rule> rules, Set<String> classes)
             throws RuleException {
-        Expressions expressions = new Expressions(schema, limits);
+        ExpressionEnvironment expressions = new ExpressionEnvironment(schema, limits);
         for (Map.Entry<String, String> one : named.entrySet()) {
             String where = "expression \"" + one.getKey() + "\"";
             try {
@@ -71,7 +71,7 @@
             }
             lines.add(line(rule, expressions, classes));
         }
-        List<Program> conditions = expressions.share(lines.stream().map(Line::match).toList());
+        List<Program> conditions = expressions.shareCommonSubexpressions(lines.stream().map(Line::match).toList());
         for (int i = 0; i < lines.size(); i++) {
             Line line = lines.get(i);
             lines.set(i, new Line(line.rule(), conditions.get(i), line.outputs(), line.limitKey()));
@@ -79,7 +79,7 @@
         return new RuleTable(schema, lines);
     }
 
-    private static Line line(Rule rule, Expressions expressions, Set<String> classes) throws RuleException {
+    private static Line line(Rule rule, ExpressionEnvironment expressions, Set<String> classes) throws RuleException {
         String where = "rule \"" + rule.name() + "\"";
         Program match = compile(where + ", match", rule.match(), Type.BOOL, expressions);
         if (!classes.contains(rule.requestClass())) {
@@ -100,7 +100,8 @@
         return new Line(rule, match, outputs, key);
     }
 
-    private static Program compile(String where, String source, Type wanted, Expressions expressions) throws RuleException {
+    private static Program compile(String where, String source, Type wanted, ExpressionEnvironment expressions)
+            throws RuleException {
         try {
             Program program = expressions.compile(source);
             if (!program.type().equals(wanted)) {
--- a/expression/src/test/java/ledgewall/rules/RuleTableTest.java
+++ b/expression/src/test/java/ledgewall/rules/RuleTableTest.java
@@ -28,7 +28,7 @@
     }
 
     private RuleTable table(Rule... rules) throws RuleException {
-        return RuleTable.of(schema, Limits.USUAL, Map.of(), List.of(rules), CLASSES);
+        return RuleTable.of(schema, Limits.DEFAULT, Map.of(), List.of(rules), CLASSES);
     }
 
     private Frame frame(Object... namesAndValues) {
@@ -53,7 +53,7 @@
         Rule booking = new Rule("booking", "books", "book-bay", Map.of(Output.TENANT, "user.split('-')[0]", Output.GROUP,
             "bucket(user, 4)", Output.SESSION, "user", Output.WAIT, "duration('5s')", Output.RETRY, "comment.r == '1'"),
             new Limiter.Allowance(10, 20, 0, 100), "user");
-        RuleTable table = RuleTable.of(schema, Limits.USUAL, named, List.of(booking, rule("status", "!writes", "bay-status"),
+        RuleTable table = RuleTable.of(schema, Limits.DEFAULT, named, List.of(booking, rule("status", "!writes", "bay-status"),
             rule("rest", "true", "trip-history")), CLASSES);
         Decision first = decide(table, frame("sql.keyword", "INSERT", "sql.tables", List.of("bookings"), "user", "kiosk-7"));
         assertEquals("book-bay", first.requestClass());
@@ -125,7 +125,7 @@
                 }
                 rules.add(rule("r" + i, match.toString(), "bay-status"));
             }
-            RuleTable table = RuleTable.of(schema, Limits.USUAL, Map.of(), rules, CLASSES);
+            RuleTable table = RuleTable.of(schema, Limits.DEFAULT, Map.of(), rules, CLASSES);
             for (int i = 0; i < rules.size(); i++) {
                 ways.add(table.way(i));
             }
