--- a/expression/src/main/java/ledgewall/expression/Bytecode.java
+++ b/expression/src/main/java/ledgewall/expression/Bytecode.java
@@ -69,8 +69,8 @@
     }
 
     /** Generates the code, or returns null if no part is inlinable or there are too many parts. */
-    static Code compile(Node.Logic logic, Compiler compiler) {
-        if (leafCount(logic) > MAX_PARTS || logic.parts().stream().noneMatch(Bytecode::isInlinable)) {
+    static Code compile(Node.Logical logic, Compiler compiler) {
+        if (leafCount(logic) > MAX_PARTS || logic.operands().stream().noneMatch(Bytecode::isInlinable)) {
             return null;
         }
         return new Bytecode(compiler).generate(logic);
@@ -78,13 +78,13 @@
 
     /** The number of parts that are not a conjunction or disjunction themselves. */
     private static int leafCount(Node node) {
-        return node instanceof Node.Logic logic ? logic.parts().stream().mapToInt(Bytecode::leafCount).sum() : 1;
+        return node instanceof Node.Logical logic ? logic.operands().stream().mapToInt(Bytecode::leafCount).sum() : 1;
     }
 
     /** Whether a node is a test that can be emitted inline, or contains one. */
     private static boolean isInlinable(Node node) {
-        if (node instanceof Node.Logic logic) {
-            return logic.parts().stream().anyMatch(Bytecode::isInlinable);
+        if (node instanceof Node.Logical logic) {
+            return logic.operands().stream().anyMatch(Bytecode::isInlinable);
         }
         if (!(node instanceof Node.Call call)) {
             return false;
@@ -102,7 +102,7 @@
             && call.arguments().get(1) instanceof Node.Constant;
     }
 
-    private Code generate(Node.Logic logic) {
+    private Code generate(Node.Logical logic) {
         ClassWriter writer = new ClassWriter(ClassWriter.COMPUTE_FRAMES | ClassWriter.COMPUTE_MAXS) {
             @Override
             protected String getCommonSuperClass(String a, String b) {
@@ -171,7 +171,7 @@
      * {@code positive} is false.
      */
     private void emit(Node node, boolean positive) {
-        if (node instanceof Node.Logic logic) {
+        if (node instanceof Node.Logical logic) {
             emitLogic(logic);
             negateUnless(positive);
         } else if (node instanceof Node.Call call && call.function().name().equals("!")) {
@@ -210,14 +210,14 @@
      * Emits the parts in order. The first decisive value ends the evaluation; otherwise the first error, if there is one, is
      * the result.
      */
-    private void emitLogic(Node.Logic logic) {
-        int decisive = logic.all() ? 0 : 1;
+    private void emitLogic(Node.Logical logic) {
+        int decisive = logic.isConjunction() ? 0 : 1;
         int error = nextLocal++;
         int value = nextLocal++;
         Label end = new Label();
         method.visitInsn(ACONST_NULL);
         method.visitVarInsn(ASTORE, error);
-        for (Node part : logic.parts()) {
+        for (Node part : logic.operands()) {
             Label next = new Label();
             Label errorSaved = new Label();
             Label undecided = new Label();
--- a/expression/src/main/java/ledgewall/expression/Compiler.java
+++ b/expression/src/main/java/ledgewall/expression/Compiler.java
@@ -36,28 +36,28 @@
             int slot = variable.slot();
             return objectCode(frame -> frame.variable(slot));
         }
-        if (node instanceof Node.Logic logic) {
+        if (node instanceof Node.Logical logic) {
             Code generated = generatedClasses < MAX_GENERATED_CLASSES ? Bytecode.compile(logic, this) : null;
             generatedClasses += generated == null ? 0 : 1;
-            return generated != null ? generated : logic(logic.all(), compile(logic.parts()));
+            return generated != null ? generated : logic(logic.isConjunction(), compile(logic.operands()));
         }
-        if (node instanceof Node.Choice choice) {
-            return choice(choice, compile(choice.condition()), compile(choice.yes()), compile(choice.no()));
+        if (node instanceof Node.Conditional choice) {
+            return choice(choice, compile(choice.condition()), compile(choice.whenTrue()), compile(choice.whenFalse()));
         }
         if (node instanceof Node.Call call) {
             Code specialized = specialized(call);
-            return specialized != null ? specialized : generic(call.function().body(), compile(call.arguments()));
+            return specialized != null ? specialized : generic(call.function().implementation(), compile(call.arguments()));
         }
-        if (node instanceof Node.ListOf list) {
+        if (node instanceof Node.ListLiteral list) {
             return list(compile(list.elements()));
         }
-        if (node instanceof Node.MapOf map) {
+        if (node instanceof Node.MapLiteral map) {
             return map(map.keys(), compile(map.values()));
         }
-        if (node instanceof Node.Loop loop) {
-            return Loops.compile(loop.macro(), loop.slot(), compile(loop.range()), compile(loop.body()));
+        if (node instanceof Node.Comprehension loop) {
+            return Loops.compile(loop.macro(), loop.slot(), compile(loop.list()), compile(loop.body()));
         }
-        Node.Shared sharedNode = (Node.Shared) node;
+        Node.SharedExpression sharedNode = (Node.SharedExpression) node;
         Code body = shared.get(sharedNode.slot());
         if (body == null) {
             body = compile(sharedNode.body());
@@ -175,7 +175,7 @@
         };
     }
 
-    private static Code choice(Node.Choice node, Code condition, Code whenTrue, Code whenFalse) {
+    private static Code choice(Node.Conditional node, Code condition, Code whenTrue, Code whenFalse) {
         if (node.type() == Type.BOOL) {
             return boolCode(frame -> {
                 int value = condition.bool(frame);
@@ -240,7 +240,7 @@
     }
 
     /** Calls a function through its body, with all arguments as objects; the first argument that fails is the result. */
-    private static Code generic(Function.Body body, Code[] argumentCodes) {
+    private static Code generic(Function.Implementation body, Code[] argumentCodes) {
         return objectCode(frame -> {
             Object[] arguments = new Object[argumentCodes.length];
             for (int i = 0; i < argumentCodes.length; i++) {
--- a/expression/src/main/java/ledgewall/expression/Costs.java
+++ b/expression/src/main/java/ledgewall/expression/Costs.java
@@ -32,11 +32,11 @@
 
     /** Bytes allocated for a new string. */
     static long stringBytes(long chars) {
-        return Size.plus(2 * Size.OBJECT, Size.times(2, chars));
+        return Size.plus(2 * Size.OBJECT_BYTES, Size.times(2, chars));
     }
 
     /** Bytes allocated for a new list or map, without its elements. */
     static long containerBytes(long elements) {
-        return Size.plus(4 * Size.OBJECT, Size.times(elements, Size.OBJECT + Size.REFERENCE));
+        return Size.plus(4 * Size.OBJECT_BYTES, Size.times(elements, Size.OBJECT_BYTES + Size.REFERENCE_BYTES));
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Functions.java
+++ b/expression/src/main/java/ledgewall/expression/Functions.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import ledgewall.expression.Function.Body;
-import ledgewall.expression.Function.Check;
+import ledgewall.expression.Function.Implementation;
+import ledgewall.expression.Function.ConstantCheck;
 import ledgewall.expression.Function.Form;
-import ledgewall.expression.Function.Pricing;
-import ledgewall.expression.Function.Sizing;
-import ledgewall.expression.Function.Typing;
+import ledgewall.expression.Function.CostFormula;
+import ledgewall.expression.Function.SizeRule;
+import ledgewall.expression.Function.TypeRule;
 import ledgewall.expression.Type.Kind;
 
 /**
@@ -31,12 +31,12 @@
     private static final long MAX_FORMATTED_CHARS = 64;
 
     // sizes of results, steps and allocated bytes of a call, and the check of constant arguments
-    private static final Sizing FIXED_SIZE = sizes -> Size.ONE;
-    private static final Pricing ONE_STEP = (sizes, result) -> 1;
-    private static final Pricing NO_BYTES = (sizes, result) -> 0;
-    private static final Pricing ONE_OBJECT = (sizes, result) -> Size.OBJECT;
-    private static final Pricing NEW_STRING = (sizes, result) -> Costs.stringBytes(result.count());
-    private static final Check NO_CHECK = constants -> null;
+    private static final SizeRule FIXED_SIZE = sizes -> Size.ONE;
+    private static final CostFormula ONE_STEP = (sizes, result) -> 1;
+    private static final CostFormula NO_BYTES = (sizes, result) -> 0;
+    private static final CostFormula ONE_OBJECT = (sizes, result) -> Size.OBJECT_BYTES;
+    private static final CostFormula NEW_STRING = (sizes, result) -> Costs.stringBytes(result.count());
+    private static final ConstantCheck NO_CHECK = constants -> null;
 
     /** Functions by form and name, in the order of their declaration. */
     private static final Map<String, List<Function>> BY_FORM_AND_NAME = new LinkedHashMap<>();
@@ -69,13 +69,13 @@
     }
 
     /** The typing of a function with exactly these parameter types. */
-    private static Typing exactly(Type result, Type... parameters) {
+    private static TypeRule exactly(Type result, Type... parameters) {
         List<Type> expected = List.of(parameters);
         return arguments -> arguments.equals(expected) ? result : null;
     }
 
     /** Steps to compare two strings or byte strings up to the length of the shorter one, plus a fixed number. */
-    private static Pricing compareShorter(int extraSteps) {
+    private static CostFormula compareShorter(int extraSteps) {
         return (sizes, result) -> Costs.charSteps(Math.min(sizes.get(0).count(), sizes.get(1).count())) + extraSteps;
     }
 
@@ -102,7 +102,7 @@
             (s, result) -> Costs.charSteps(result.count()), NEW_STRING, a -> (String) a[0] + a[1], NO_CHECK));
         add(new Function("+", Form.OPERATOR, "list(T), list(T): list(T)", "one after the other", "1 and its elements",
             t -> t.get(0).kind() == Kind.LIST && t.get(0).equals(t.get(1)) ? t.get(0) : null,
-            s -> Size.list(Size.plus(s.get(0).count(), s.get(1).count()), s.get(0).of().or(s.get(1).of())),
+            s -> Size.list(Size.plus(s.get(0).count(), s.get(1).count()), s.get(0).element().max(s.get(1).element())),
             (s, result) -> Size.plus(1, result.count()), (s, result) -> Costs.containerBytes(result.count()), a -> {
                 List<Object> concatenated = new ArrayList<>((List<?>) a[0]);
                 concatenated.addAll((List<?>) a[1]);
@@ -110,7 +110,7 @@
             }, NO_CHECK));
         add(new Function("in", Form.OPERATOR, "T, list(T): bool", "whether a list holds a value",
             "1 and each comparison; in a list of constants as much",
-            t -> t.get(1).kind() == Kind.LIST && t.get(0).equals(t.get(1).of()) ? Type.BOOL : null, FIXED_SIZE,
+            t -> t.get(1).kind() == Kind.LIST && t.get(0).equals(t.get(1).element()) ? Type.BOOL : null, FIXED_SIZE,
             (s, result) -> Size.plus(1, Size.times(s.get(1).count(), traversalSteps(s.get(0)))), NO_BYTES, a -> {
                 for (Object element : (List<?>) a[1]) {
                     if (Values.equal(a[0], element)) {
@@ -128,8 +128,8 @@
     /** Steps to visit a whole value of this size, nested values and map keys included. */
     private static long traversalSteps(Size size) {
         long ownSteps = Costs.charSteps(size.count());
-        return size.of() == null ? ownSteps
-            : Size.plus(1, Size.times(size.count(), Size.plus(traversalSteps(size.of()), Costs.charSteps(size.key()))));
+        return size.element() == null ? ownSteps
+            : Size.plus(1, Size.times(size.count(), Size.plus(traversalSteps(size.element()), Costs.charSteps(size.keyChars()))));
     }
 
     /** Decides a comparison from the result of {@link Values#compare}. */
@@ -160,7 +160,7 @@
     }
 
     /** An operation on two longs whose overflow is an error value. */
-    private static Body checked(LongOperation operation) {
+    private static Implementation checked(LongOperation operation) {
         return a -> {
             try {
                 return operation.of((Long) a[0], (Long) a[1]);
@@ -221,13 +221,14 @@
 
     private static void indexes() {
         add(new Function("[]", Form.OPERATOR, "map(string, T), string: T", "the value of a key; an error if it has none",
-            "1 and a 16th of the key", t -> t.get(0).kind() == Kind.MAP && t.get(1) == Type.STRING ? t.get(0).of() : null,
-            s -> s.get(0).of(), (s, result) -> Costs.charSteps(s.get(1).count()), NO_BYTES, a -> {
+            "1 and a 16th of the key", t -> t.get(0).kind() == Kind.MAP && t.get(1) == Type.STRING ? t.get(0).element() : null,
+            s -> s.get(0).element(), (s, result) -> Costs.charSteps(s.get(1).count()), NO_BYTES, a -> {
                 Object value = ((Map<?, ?>) a[0]).get(a[1]);
                 return value == null ? ErrorKind.NO_SUCH_KEY : value;
             }, NO_CHECK));
         add(new Function("[]", Form.OPERATOR, "list(T), int: T", "the element, counted from 0; an error beyond them", "1",
-            t -> t.get(0).kind() == Kind.LIST && t.get(1) == Type.INT ? t.get(0).of() : null, s -> s.get(0).of(), ONE_STEP,
+            t -> t.get(0).kind() == Kind.LIST && t.get(1) == Type.INT ? t.get(0).element() : null, s -> s.get(0).element(),
+            ONE_STEP,
             NO_BYTES, a -> {
                 List<?> list = (List<?>) a[0];
                 long index = (Long) a[1];
@@ -235,12 +236,12 @@
             }, c -> c[1] instanceof Long index && index < 0 ? "elements are counted from 0" : null));
         add(new Function("[?]", Form.OPERATOR, "map(string, T), string: optional(T)", "the value of a key, if it has one",
             "1 and a 16th of the key",
-            t -> t.get(0).kind() == Kind.MAP && t.get(1) == Type.STRING ? Type.optionalOf(t.get(0).of()) : null,
-            s -> new Size(1, s.get(0).of(), 0), (s, result) -> Costs.charSteps(s.get(1).count()), ONE_OBJECT,
+            t -> t.get(0).kind() == Kind.MAP && t.get(1) == Type.STRING ? Type.optionalOf(t.get(0).element()) : null,
+            s -> new Size(1, s.get(0).element(), 0), (s, result) -> Costs.charSteps(s.get(1).count()), ONE_OBJECT,
             a -> Optional.ofNullable(((Map<?, ?>) a[0]).get(a[1])), NO_CHECK));
         add(new Function("[?]", Form.OPERATOR, "list(T), int: optional(T)", "the element, if there is one", "1",
-            t -> t.get(0).kind() == Kind.LIST && t.get(1) == Type.INT ? Type.optionalOf(t.get(0).of()) : null,
-            s -> new Size(1, s.get(0).of(), 0), ONE_STEP, ONE_OBJECT, a -> {
+            t -> t.get(0).kind() == Kind.LIST && t.get(1) == Type.INT ? Type.optionalOf(t.get(0).element()) : null,
+            s -> new Size(1, s.get(0).element(), 0), ONE_STEP, ONE_OBJECT, a -> {
                 List<?> list = (List<?>) a[0];
                 long index = (Long) a[1];
                 return index < 0 || index >= list.size() ? Optional.empty() : Optional.of(list.get((int) index));
@@ -254,7 +255,7 @@
         Object of(String text, String other);
     }
 
-    private static void addStringTest(String name, String meaning, String cost, Pricing steps, StringOperation body) {
+    private static void addStringTest(String name, String meaning, String cost, CostFormula steps, StringOperation body) {
         add(new Function(name, Form.METHOD, "string.(string): bool", meaning, cost,
             exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED_SIZE, steps, NO_BYTES,
             a -> body.of((String) a[0], (String) a[1]), NO_CHECK));
@@ -270,15 +271,15 @@
         }
         addStringTest("startsWith", "whether it begins so", "1 and a 16th of the shorter", compareShorter(0), String::startsWith);
         addStringTest("endsWith", "whether it ends so", "1 and a 16th of the shorter", compareShorter(0), String::endsWith);
-        Pricing search = (s, result) -> Costs.searchSteps(s.get(0).count(), s.get(1).count());
+        CostFormula search = (s, result) -> Costs.searchSteps(s.get(0).count(), s.get(1).count());
         addStringTest("contains", "whether the other stands anywhere in it", "a 16th of the other at each place", search,
             String::contains);
         add(new Function("indexOf", Form.METHOD, "string.(string): int", "where the other stands first, or -1",
             "a 16th of the other at each place", exactly(Type.INT, Type.STRING, Type.STRING), FIXED_SIZE, search, ONE_OBJECT,
             a -> (long) ((String) a[0]).indexOf((String) a[1]), NO_CHECK));
         patterns();
-        Pricing linear = (s, result) -> Costs.charSteps(s.get(0).count());
-        Sizing sameSize = s -> s.get(0);
+        CostFormula linear = (s, result) -> Costs.charSteps(s.get(0).count());
+        SizeRule sameSize = s -> s.get(0);
         for (boolean toUpper : new boolean[] {false, true}) {
             add(new Function(toUpper ? "upperAscii" : "lowerAscii", Form.METHOD, "string.(): string",
                 (toUpper ? "A to Z for a to z" : "a to z for A to Z") + ", all else as it is", "1 and a 16th",
@@ -309,9 +310,9 @@
     }
 
     private static void patterns() {
-        Check check = c -> c[1] == null ? "the regular expression must be a constant" : c[1] instanceof String source
+        ConstantCheck check = c -> c[1] == null ? "the regular expression must be a constant" : c[1] instanceof String source
             ? patternProblem(source) : null;
-        Pricing matching = (s, result) -> Costs.matchSteps(s.get(0).count(), s.get(1).count());
+        CostFormula matching = (s, result) -> Costs.matchSteps(s.get(0).count(), s.get(1).count());
         add(new Function("matches", Form.METHOD, "string.(regex): bool", "whether a part of it matches; ^ and $ tie it",
             "a 16th of the compiled program for each character", exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED_SIZE,
             matching, (s, result) -> Costs.containerBytes(s.get(1).count()), a -> pattern(a[1]).matcher((String) a[0]).find(),
@@ -352,15 +353,15 @@
     }
 
     private static void substrings() {
-        Check nonNegativeStart = c -> c[1] instanceof Long start && start < 0 ? "characters are counted from 0" : null;
-        Body substring = a -> {
+        ConstantCheck nonNegativeStart = c -> c[1] instanceof Long start && start < 0 ? "characters are counted from 0" : null;
+        Implementation substring = a -> {
             String text = (String) a[0];
             long start = (Long) a[1];
             long end = a.length > 2 ? (Long) a[2] : text.length();
             return start < 0 || end > text.length() || start > end ? ErrorKind.OUT_OF_RANGE
                 : text.substring((int) start, (int) end);
         };
-        Pricing linear = (s, result) -> Costs.charSteps(s.get(0).count());
+        CostFormula linear = (s, result) -> Costs.charSteps(s.get(0).count());
         add(new Function("substring", Form.METHOD, "string.(int): string", "from that character on, counted from 0",
             "1 and a 16th", exactly(Type.STRING, Type.STRING, Type.INT), s -> s.get(0), linear, NEW_STRING,
             substring, nonNegativeStart));
@@ -381,7 +382,7 @@
         add(new Function("join", Form.METHOD, "list(string).(string): string", "its elements with the second between them",
             "1, a step an element and a 16th of the result",
             exactly(Type.STRING, Type.listOf(Type.STRING), Type.STRING),
-            s -> Size.chars(Size.times(s.get(0).count(), Size.plus(s.get(0).of().count(), s.get(1).count()))),
+            s -> Size.chars(Size.times(s.get(0).count(), Size.plus(s.get(0).element().count(), s.get(1).count()))),
             (s, result) -> Size.plus(s.get(0).count(), Costs.charSteps(result.count())),
             (s, result) -> Size.times(2, Costs.stringBytes(result.count())),
             a -> String.join((String) a[1], strings((List<?>) a[0])), NO_CHECK));
@@ -405,14 +406,14 @@
 
     // ---- Conversions
 
-    private static void addConversion(String name, Type from, Type to, String meaning, Sizing sizing, Body body) {
+    private static void addConversion(String name, Type from, Type to, String meaning, SizeRule sizing, Implementation body) {
         add(new Function(name, Form.FUNCTION, from + ": " + to, meaning, "1 and a 16th of both", exactly(to, from), sizing,
             (s, result) -> Size.plus(Costs.charSteps(s.get(0).count()), Costs.charSteps(result.count())),
             (s, result) -> Size.plus(Costs.stringBytes(s.get(0).count()), Costs.stringBytes(result.count())), body, NO_CHECK));
     }
 
     private static void conversions() {
-        Sizing formatted = s -> Size.chars(MAX_FORMATTED_CHARS);
+        SizeRule formatted = s -> Size.chars(MAX_FORMATTED_CHARS);
         addConversion("int", Type.STRING, Type.INT, "a decimal number, with or without a sign", FIXED_SIZE,
             a -> Texts.toInt((String) a[0]));
         addConversion("int", Type.DOUBLE, Type.INT, "without its fraction", FIXED_SIZE, a -> {
@@ -468,20 +469,20 @@
         for (Type type : List.of(Type.STRING, Type.BYTES, Type.INT)) {
             add(new Function("hash", Form.FUNCTION, type + ": int", "XXH3 of 64 bits; the same in every version",
                 "1 and a 16th", exactly(Type.INT, type), FIXED_SIZE, (s, result) -> Costs.charSteps(s.get(0).count()),
-                (s, result) -> 4 * Size.OBJECT, a -> Texts.hash(a[0]), NO_CHECK));
+                (s, result) -> 4 * Size.OBJECT_BYTES, a -> Texts.hash(a[0]), NO_CHECK));
             add(new Function("bucket", Form.FUNCTION, type + ", int: int",
                 "the hash, taken as unsigned, modulo the second: 0 to one less; an error if that is under 1", "1 and a 16th",
                 exactly(Type.INT, type, Type.INT), FIXED_SIZE, (s, result) -> Costs.charSteps(s.get(0).count()),
-                (s, result) -> 4 * Size.OBJECT, a -> (Long) a[1] < 1 ? ErrorKind.OUT_OF_RANGE
+                (s, result) -> 4 * Size.OBJECT_BYTES, a -> (Long) a[1] < 1 ? ErrorKind.OUT_OF_RANGE
                     : (Object) Long.remainderUnsigned(Texts.hash(a[0]), (Long) a[1]),
                 c -> c[1] instanceof Long count && count < 1 ? "a count of buckets under 1" : null));
         }
-        Check rangeCheck = c -> c[1] == null ? "the address range must be a constant"
+        ConstantCheck rangeCheck = c -> c[1] == null ? "the address range must be a constant"
             : c[1] instanceof String text && Texts.range(text) == null ? "no address range: '" + text + "'" : null;
         add(new Function("inCidr", Form.METHOD, "string.(range): bool",
             "whether an IPv4 or IPv6 address lies in a range such as 10.0.0.0/8; an error if it is no address", "10",
             exactly(Type.BOOL, Type.STRING, Type.STRING), FIXED_SIZE, (s, result) -> 10,
-            (s, result) -> 100 * Size.OBJECT, a -> Texts.inRange((String) a[0], a[1]), rangeCheck));
+            (s, result) -> 100 * Size.OBJECT_BYTES, a -> Texts.inRange((String) a[0], a[1]), rangeCheck));
         for (boolean isMin : new boolean[] {true, false}) {
             add(new Function(isMin ? "min" : "max", Form.FUNCTION, "T, T: T, T int, duration or timestamp",
                 isMin ? "the smaller" : "the larger", "1",
@@ -496,11 +497,11 @@
             t -> t.size() == 1 && t.get(0).kind() == Kind.OPTIONAL ? Type.BOOL : null, FIXED_SIZE, ONE_STEP, NO_BYTES,
             a -> ((Optional<?>) a[0]).isPresent(), NO_CHECK));
         add(new Function("value", Form.METHOD, "optional(T).(): T", "the value; an error if there is none", "1",
-            t -> t.size() == 1 && t.get(0).kind() == Kind.OPTIONAL ? t.get(0).of() : null, s -> s.get(0).of(), ONE_STEP,
+            t -> t.size() == 1 && t.get(0).kind() == Kind.OPTIONAL ? t.get(0).element() : null, s -> s.get(0).element(), ONE_STEP,
             NO_BYTES, a -> ((Optional<?>) a[0]).isPresent() ? ((Optional<?>) a[0]).get() : ErrorKind.ABSENT, NO_CHECK));
         add(new Function("orValue", Form.METHOD, "optional(T).(T): T", "the value, or the second if there is none", "1",
-            t -> t.size() == 2 && t.get(0).kind() == Kind.OPTIONAL && t.get(1).equals(t.get(0).of()) ? t.get(1) : null,
-            s -> s.get(0).of().or(s.get(1)), ONE_STEP, NO_BYTES,
+            t -> t.size() == 2 && t.get(0).kind() == Kind.OPTIONAL && t.get(1).equals(t.get(0).element()) ? t.get(1) : null,
+            s -> s.get(0).element().max(s.get(1)), ONE_STEP, NO_BYTES,
             a -> ((Optional<?>) a[0]).isPresent() ? ((Optional<?>) a[0]).get() : a[1], NO_CHECK));
     }
 }
--- a/expression/src/main/java/ledgewall/expression/Interpreter.java
+++ b/expression/src/main/java/ledgewall/expression/Interpreter.java
@@ -43,16 +43,16 @@
         if (node instanceof Node.Call call) {
             return call(call);
         }
-        if (node instanceof Node.Logic logic) {
+        if (node instanceof Node.Logical logic) {
             return logic(logic);
         }
-        if (node instanceof Node.Loop loop) {
+        if (node instanceof Node.Comprehension loop) {
             return loop(loop);
         }
-        if (node instanceof Node.ListOf list) {
+        if (node instanceof Node.ListLiteral list) {
             return list(list.elements());
         }
-        if (node instanceof Node.MapOf map) {
+        if (node instanceof Node.MapLiteral map) {
             Object values = list(map.values());
             return Values.isError(values) ? values : map(map.keys(), (List<?>) values);
         }
@@ -66,15 +66,15 @@
         if (node instanceof Node.Variable variable) {
             return variables[variable.slot()];
         }
-        if (node instanceof Node.Shared sharedNode) {
+        if (node instanceof Node.SharedExpression sharedNode) {
             if (!shared.containsKey(sharedNode.slot())) {
                 shared.put(sharedNode.slot(), evaluate(sharedNode.body()));
             }
             return shared.get(sharedNode.slot());
         }
-        Node.Choice choice = (Node.Choice) node;
+        Node.Conditional choice = (Node.Conditional) node;
         Object condition = evaluate(choice.condition());
-        return Values.isError(condition) ? condition : evaluate((Boolean) condition ? choice.yes() : choice.no());
+        return Values.isError(condition) ? condition : evaluate((Boolean) condition ? choice.whenTrue() : choice.whenFalse());
     }
 
     private Object call(Node.Call call) {
@@ -86,24 +86,24 @@
                 return arguments[i];
             }
         }
-        Object result = call.function().body().of(arguments);
+        Object result = call.function().implementation().of(arguments);
         List<Size> sizes = Arrays.stream(arguments).map(Values::measure).toList();
-        charge(Cost.own(call.function(), sizes, Values.isError(result) ? ERROR_SIZE : Values.measure(result)));
+        charge(Cost.ofCall(call.function(), sizes, Values.isError(result) ? ERROR_SIZE : Values.measure(result)));
         return result;
     }
 
-    private Object logic(Node.Logic logic) {
+    private Object logic(Node.Logical logic) {
         steps++;
         Object error = null;
-        for (Node part : logic.parts()) {
+        for (Node part : logic.operands()) {
             Object value = evaluate(part);
             if (Values.isError(value)) {
                 error = error == null ? value : error;
-            } else if ((Boolean) value != logic.all()) {
+            } else if ((Boolean) value != logic.isConjunction()) {
                 return value;
             }
         }
-        return error != null ? error : (Object) logic.all();
+        return error != null ? error : (Object) logic.isConjunction();
     }
 
     private Object list(List<Node> elements) {
@@ -115,7 +115,7 @@
             }
             values.add(value);
         }
-        charge(Cost.container(values.size()));
+        charge(Cost.ofContainer(values.size()));
         return values;
     }
 
@@ -127,14 +127,14 @@
         return map;
     }
 
-    private Object loop(Node.Loop loop) {
-        Object range = evaluate(loop.range());
+    private Object loop(Node.Comprehension loop) {
+        Object range = evaluate(loop.list());
         if (Values.isError(range)) {
             steps++;
             return range;
         }
         List<?> list = (List<?>) range;
-        charge(Cost.loop(loop.macro(), list.size()));
+        charge(Cost.ofComprehension(loop.macro(), list.size()));
         return switch (loop.macro()) {
             case ALL, EXISTS -> allOrExists(loop, list, loop.macro() == Node.Macro.ALL);
             case EXISTS_ONE -> existsOne(loop, list);
@@ -142,13 +142,13 @@
         };
     }
 
-    private Object evaluateBody(Node.Loop loop, Object element) {
+    private Object evaluateBody(Node.Comprehension loop, Object element) {
         steps++;
         variables[loop.slot()] = element;
         return evaluate(loop.body());
     }
 
-    private Object allOrExists(Node.Loop loop, List<?> list, boolean isAll) {
+    private Object allOrExists(Node.Comprehension loop, List<?> list, boolean isAll) {
         Object error = null;
         for (Object element : list) {
             Object value = evaluateBody(loop, element);
@@ -161,7 +161,7 @@
         return error != null ? error : (Object) isAll;
     }
 
-    private Object existsOne(Node.Loop loop, List<?> list) {
+    private Object existsOne(Node.Comprehension loop, List<?> list) {
         int count = 0;
         for (Object element : list) {
             Object value = evaluateBody(loop, element);
@@ -173,7 +173,7 @@
         return count == 1;
     }
 
-    private Object filterOrMap(Node.Loop loop, List<?> list) {
+    private Object filterOrMap(Node.Comprehension loop, List<?> list) {
         List<Object> results = new ArrayList<>();
         for (Object element : list) {
             Object value = evaluateBody(loop, element);
--- a/expression/src/main/java/ledgewall/expression/Program.java
+++ b/expression/src/main/java/ledgewall/expression/Program.java
@@ -61,11 +61,11 @@
      */
     public boolean covers(Program other) {
         Set<String> otherParts = new HashSet<>();
-        Requirement.conjuncts(other.node).forEach(part -> otherParts.add(Canonical.of(part)));
+        Requirement.conjuncts(other.node).forEach(part -> otherParts.add(CanonicalForm.of(part)));
         List<Requirement> otherRequirements = other.requirements();
         for (Node part : Requirement.conjuncts(node)) {
             List<Requirement> partRequirements = Requirement.of(part);
-            boolean implied = otherParts.contains(Canonical.of(part)) || isConstantTrue(part)
+            boolean implied = otherParts.contains(CanonicalForm.of(part)) || isConstantTrue(part)
                 || partRequirements.size() == 1 && otherRequirements.stream().anyMatch(r -> r.implies(partRequirements.get(0)));
             if (!implied) {
                 return false;
--- a/expression/src/main/java/ledgewall/expression/Requirement.java
+++ b/expression/src/main/java/ledgewall/expression/Requirement.java
@@ -7,23 +7,24 @@
 import java.util.Set;
 
 /**
- * Something that an attribute, or one entry of a map, must be for a condition to hold; false or an error otherwise. Indexes
- * find rules by these.
+ * A necessary condition on one attribute or one map entry: where it is not met, the whole condition is false or an error. Rule
+ * indexes look rules up by their requirements.
  *
- * @param subject what must be so
- * @param values one of these, where they are what is required; else null
- * @param prefix what it must begin with; else null
- * @param least the least integer, duration or timestamp, where a range is required
- * @param most the greatest
+ * @param subject the attribute or map entry that is restricted
+ * @param values the permitted values, or null if the requirement is a prefix or a range
+ * @param prefix the required prefix of a string, or null if the requirement is a set of values or a range
+ * @param min the least permitted integer, duration or timestamp; used only if both {@code values} and {@code prefix} are null
+ * @param max the greatest one, inclusive
  */
-public record Requirement(Subject subject, Set<Object> values, String prefix, long least, long most) {
+public record Requirement(Subject subject, Set<Object> values, String prefix, long min, long max) {
     /**
-     * An attribute, or an entry of one that is a map.
+     * An attribute, or an entry of a map attribute.
      *
-     * @param key the entry's, or null
+     * @param attribute the attribute's index in the schema
+     * @param key the key of the map entry, or null for the attribute itself
      */
     public record Subject(int attribute, String key) {
-        /** Its value for a request, or null where it has none or is an error. */
+        /** Returns the value for a request, or null if it is missing or an error. */
         public Object value(Frame frame) {
             Object value = frame.value(attribute);
             if (value instanceof ErrorKind) {
@@ -33,64 +34,64 @@
         }
     }
 
-    /** Whether whatever meets this meets the other too. */
+    /** Whether every value that meets this requirement also meets the other. */
     public boolean implies(Requirement other) {
         if (!subject.equals(other.subject)) {
             return false;
         }
         if (values != null) {
-            return values.stream().allMatch(other::isMetBy);
+            return values.stream().allMatch(other::accepts);
         }
         if (prefix != null) {
             return other.prefix != null && prefix.startsWith(other.prefix);
         }
-        return other.values == null && other.prefix == null && other.least <= least && other.most >= most;
+        return other.values == null && other.prefix == null && other.min <= min && other.max >= max;
     }
 
-    private boolean isMetBy(Object value) {
+    private boolean accepts(Object value) {
         return values != null ? values.contains(value)
             : prefix != null ? value instanceof String text && text.startsWith(prefix)
-            : value instanceof Long number && number >= least && number <= most;
+            : value instanceof Long number && number >= min && number <= max;
     }
 
-    /** What a condition requires of single subjects: one for each part that says so plainly. */
+    /** Returns one requirement for each conjunct of the condition that has an indexable form; other conjuncts are skipped. */
     static List<Requirement> of(Node condition) {
-        List<Requirement> all = new ArrayList<>();
-        for (Node part : conjuncts(condition)) {
-            Requirement requirement = plain(part);
+        List<Requirement> requirements = new ArrayList<>();
+        for (Node conjunct : conjuncts(condition)) {
+            Requirement requirement = ofConjunct(conjunct);
             if (requirement != null) {
-                all.add(requirement);
+                requirements.add(requirement);
             }
         }
-        return all;
+        return requirements;
     }
 
-    /** The parts that must all hold. */
+    /** Splits a condition into the parts that must all hold, looking into nested conjunctions and named expressions. */
     static List<Node> conjuncts(Node condition) {
-        if (condition instanceof Node.Shared shared) {
+        if (condition instanceof Node.SharedExpression shared) {
             return conjuncts(shared.body());
         }
-        if (condition instanceof Node.Logic logic && logic.all()) {
-            return logic.parts().stream().flatMap(part -> conjuncts(part).stream()).toList();
+        if (condition instanceof Node.Logical logical && logical.isConjunction()) {
+            return logical.operands().stream().flatMap(operand -> conjuncts(operand).stream()).toList();
         }
         return List.of(condition);
     }
 
-    private static Requirement plain(Node part) {
-        if (part instanceof Node.Logic logic && !logic.all()) {
-            return either(logic.parts());
+    private static Requirement ofConjunct(Node conjunct) {
+        if (conjunct instanceof Node.Logical logical && !logical.isConjunction()) {
+            return ofDisjunction(logical.operands());
         }
-        if (part instanceof Node.Shared shared) {
-            return plain(shared.body());
+        if (conjunct instanceof Node.SharedExpression shared) {
+            return ofConjunct(shared.body());
         }
-        if (part instanceof Node.Attribute flag) { // a bool, as all that is required
+        if (conjunct instanceof Node.Attribute flag) { // a bool attribute that is the whole conjunct
             return new Requirement(new Subject(flag.index(), null), Set.of(true), null, 0, 0);
         }
-        if (part instanceof Node.Call not && not.function().name().equals("!")
-                && not.arguments().get(0) instanceof Node.Attribute flag) {
+        if (conjunct instanceof Node.Call negation && negation.function().name().equals("!")
+                && negation.arguments().get(0) instanceof Node.Attribute flag) {
             return new Requirement(new Subject(flag.index(), null), Set.of(false), null, 0, 0);
         }
-        if (!(part instanceof Node.Call call) || call.arguments().size() != 2) {
+        if (!(conjunct instanceof Node.Call call) || call.arguments().size() != 2) {
             return null;
         }
         Node first = call.arguments().get(0);
@@ -99,13 +100,14 @@
         if (subject != null && second instanceof Node.Constant constant) {
             return of(call.function().name(), subject, first.type(), constant.value());
         }
-        Subject other = subject(second);
-        return other != null && first instanceof Node.Constant constant
-            ? of(turned(call.function().name()), other, second.type(), constant.value()) : null;
+        Subject mirroredSubject = subject(second);
+        return mirroredSubject != null && first instanceof Node.Constant constant
+            ? of(mirroredOperator(call.function().name()), mirroredSubject, second.type(), constant.value()) : null;
     }
 
-    private static String turned(String name) {
-        return switch (name) {
+    /** The operator that gives the same result with its operands swapped, or an empty string if there is none. */
+    private static String mirroredOperator(String operator) {
+        return switch (operator) {
             case "==" -> "==";
             case "<" -> ">";
             case "<=" -> ">=";
@@ -115,43 +117,44 @@
         };
     }
 
-    /** Any of several values of one subject is a set. */
-    private static Requirement either(List<Node> parts) {
+    /** Merges alternatives that all restrict the same subject to sets of values into one set; returns null otherwise. */
+    private static Requirement ofDisjunction(List<Node> operands) {
         Set<Object> values = new HashSet<>();
         Subject subject = null;
-        for (Node part : parts) {
-            Requirement one = plain(part);
-            if (one == null || one.values == null || subject != null && !one.subject.equals(subject)) {
+        for (Node operand : operands) {
+            Requirement requirement = ofConjunct(operand);
+            if (requirement == null || requirement.values == null
+                    || subject != null && !requirement.subject.equals(subject)) {
                 return null;
             }
-            subject = one.subject;
-            values.addAll(one.values);
+            subject = requirement.subject;
+            values.addAll(requirement.values);
         }
         return new Requirement(subject, values, null, 0, 0);
     }
 
-    private static Requirement of(String name, Subject subject, Type type, Object constant) {
-        boolean exact = type == Type.STRING || type == Type.BYTES || type.isLong();
-        boolean number = type.isLong() && constant instanceof Long;
-        long value = number ? (Long) constant : 0;
-        return switch (name) {
-            case "==" -> exact ? new Requirement(subject, Set.of(constant), null, 0, 0) : null;
-            case "in" -> exact && constant instanceof List<?> list
+    private static Requirement of(String operator, Subject subject, Type type, Object constant) {
+        boolean hasExactEquality = type == Type.STRING || type == Type.BYTES || type.isLong();
+        boolean isLongConstant = type.isLong() && constant instanceof Long;
+        long value = isLongConstant ? (Long) constant : 0;
+        return switch (operator) {
+            case "==" -> hasExactEquality ? new Requirement(subject, Set.of(constant), null, 0, 0) : null;
+            case "in" -> hasExactEquality && constant instanceof List<?> list
                 ? new Requirement(subject, new HashSet<>(list), null, 0, 0) : null;
             case "startsWith" -> new Requirement(subject, null, (String) constant, 0, 0);
-            case ">=" -> number ? range(subject, value, Long.MAX_VALUE) : null;
-            case "<=" -> number ? range(subject, Long.MIN_VALUE, value) : null;
-            case ">" -> number && value < Long.MAX_VALUE ? range(subject, value + 1, Long.MAX_VALUE) : null;
-            case "<" -> number && value > Long.MIN_VALUE ? range(subject, Long.MIN_VALUE, value - 1) : null;
+            case ">=" -> isLongConstant ? range(subject, value, Long.MAX_VALUE) : null;
+            case "<=" -> isLongConstant ? range(subject, Long.MIN_VALUE, value) : null;
+            case ">" -> isLongConstant && value < Long.MAX_VALUE ? range(subject, value + 1, Long.MAX_VALUE) : null;
+            case "<" -> isLongConstant && value > Long.MIN_VALUE ? range(subject, Long.MIN_VALUE, value - 1) : null;
             default -> null;
         };
     }
 
-    private static Requirement range(Subject subject, long least, long most) {
-        return new Requirement(subject, null, null, least, most);
+    private static Requirement range(Subject subject, long min, long max) {
+        return new Requirement(subject, null, null, min, max);
     }
 
-    /** An attribute; an entry under a constant key; or such an entry with a default, unless the default would do. */
+    /** Returns the subject if the node is a scalar attribute or a map attribute indexed by a constant key, else null. */
     private static Subject subject(Node node) {
         if (node instanceof Node.Attribute attribute && attribute.type().isScalar()) {
             return new Subject(attribute.index(), null);
--- a/expression/src/main/java/ledgewall/expression/Type.java
+++ b/expression/src/main/java/ledgewall/expression/Type.java
@@ -2,9 +2,9 @@
 
 import java.util.Objects;
 
-/** The type of an expression or of an attribute; every one is known at load. */
+/** The type of an expression or of an attribute. All types are checked at load. */
 public final class Type {
-    /** What sort of value; the last three hold others. */
+    /** The kind of value. The last three kinds contain values of another type. */
     public enum Kind { BOOL, INT, DOUBLE, STRING, BYTES, DURATION, TIMESTAMP, LIST, MAP, OPTIONAL }
 
     public static final Type BOOL = new Type(Kind.BOOL, null);
@@ -16,18 +16,18 @@
     public static final Type TIMESTAMP = new Type(Kind.TIMESTAMP, null);
 
     private final Kind kind;
-    private final Type of;
+    private final Type element;
 
-    private Type(Kind kind, Type of) {
+    private Type(Kind kind, Type element) {
         this.kind = kind;
-        this.of = of;
+        this.element = element;
     }
 
     public static Type listOf(Type element) {
         return new Type(Kind.LIST, element);
     }
 
-    /** A map from strings. */
+    /** A map with string keys. */
     public static Type mapOf(Type value) {
         return new Type(Kind.MAP, value);
     }
@@ -41,12 +41,12 @@
         return kind;
     }
 
-    /** What a list, a map or an optional holds; null of the others. */
-    public Type of() {
-        return of;
+    /** The type of a list's elements, a map's values or an optional's value; null for other types. */
+    public Type element() {
+        return element;
     }
 
-    /** Whether values are held as a 64-bit integer: durations in ns, timestamps in ns since 1970. */
+    /** Whether values are stored as a 64-bit integer: durations in nanoseconds, timestamps in nanoseconds since 1970. */
     boolean isLong() {
         return kind == Kind.INT || kind == Kind.DURATION || kind == Kind.TIMESTAMP;
     }
@@ -55,27 +55,27 @@
         return isLong() || kind == Kind.DOUBLE || kind == Kind.STRING || kind == Kind.BYTES;
     }
 
-    /** Whether values of it hold no others. */
+    /** Whether values contain no values of another type. */
     boolean isScalar() {
-        return of == null;
+        return element == null;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Type type && type.kind == kind && Objects.equals(type.of, of);
+        return other instanceof Type type && type.kind == kind && Objects.equals(type.element, element);
     }
 
     @Override
     public int hashCode() {
-        return 31 * kind.hashCode() + Objects.hashCode(of);
+        return 31 * kind.hashCode() + Objects.hashCode(element);
     }
 
     @Override
     public String toString() {
         return switch (kind) {
-            case LIST -> "list(" + of + ")";
-            case MAP -> "map(string, " + of + ")";
-            case OPTIONAL -> "optional(" + of + ")";
+            case LIST -> "list(" + element + ")";
+            case MAP -> "map(string, " + element + ")";
+            case OPTIONAL -> "optional(" + element + ")";
             default -> kind.name().toLowerCase(java.util.Locale.ROOT);
         };
     }
--- a/expression/src/main/java/ledgewall/expression/Values.java
+++ b/expression/src/main/java/ledgewall/expression/Values.java
@@ -84,7 +84,7 @@
         Size largest = null;
         for (Object value : values) {
             Size size = measure(value);
-            largest = largest == null ? size : largest.or(size);
+            largest = largest == null ? size : largest.max(size);
         }
         return largest == null ? new Size(0, null, 0) : largest;
     }
@@ -97,16 +97,18 @@
             case DOUBLE -> value instanceof Double;
             case STRING -> value instanceof String;
             case BYTES -> value instanceof Bytes;
-            case LIST -> value instanceof List<?> list && list.stream().allMatch(v -> isOfType(v, type.of()));
+            case LIST -> value instanceof List<?> list && list.stream().allMatch(v -> isOfType(v, type.element()));
             case MAP -> value instanceof Map<?, ?> map && map.entrySet().stream()
-                .allMatch(e -> e.getKey() instanceof String && isOfType(e.getValue(), type.of()));
-            case OPTIONAL -> value instanceof Optional<?> optional && (optional.isEmpty() || isOfType(optional.get(), type.of()));
+                .allMatch(e -> e.getKey() instanceof String && isOfType(e.getValue(), type.element()));
+            case OPTIONAL -> value instanceof Optional<?> optional
+                && (optional.isEmpty() || isOfType(optional.get(), type.element()));
         };
     }
 
     /** Whether a size is at most the bound, in every dimension and for nested values too. */
     static boolean within(Size size, Size bound) {
-        return size.count() <= bound.count() && size.key() <= bound.key()
-            && (size.of() == null || bound.of() == null || size.count() == 0 || within(size.of(), bound.of()));
+        return size.count() <= bound.count() && size.keyChars() <= bound.keyChars()
+            && (size.element() == null || bound.element() == null || size.count() == 0
+                || within(size.element(), bound.element()));
     }
 }
