--- a/expression/src/main/java/ledgewall/rules/Decision.java
+++ b/expression/src/main/java/ledgewall/rules/Decision.java
@@ -1,77 +1,77 @@
 package ledgewall.rules;
 
 /**
- * What a table says of a request. Reused by whoever asks.
+ * The result of matching a request against a {@link RuleTable}. Mutable, so that callers can reuse one instance.
  */
 public final class Decision {
-    /** The rule's number, or -1 where none matches. */
-    int rule = -1;
-    String name;
+    /** The index of the matching rule, or -1 if none matches. */
+    int ruleIndex = -1;
+    String ruleName;
     String requestClass;
     String tenant;
     long group = -1;
     String session;
-    long wait = -1;
+    long maxWaitNs = -1;
     boolean retry;
     String limitKey;
 
     void clear() {
-        rule = -1;
-        name = null;
+        ruleIndex = -1;
+        ruleName = null;
         requestClass = null;
         tenant = null;
         group = -1;
         session = null;
-        wait = -1;
+        maxWaitNs = -1;
         retry = false;
         limitKey = null;
     }
 
     /** Whether a rule matched. */
     public boolean matched() {
-        return rule >= 0;
+        return ruleIndex >= 0;
     }
 
-    /** The rule's number from 0, or -1. */
-    public int rule() {
-        return rule;
+    /** The zero-based index of the matching rule, or -1 if none matches. */
+    public int ruleIndex() {
+        return ruleIndex;
     }
 
-    /** The rule's name, or null. */
-    public String name() {
-        return name;
+    /** The name of the matching rule, or null if none matches. */
+    public String ruleName() {
+        return ruleName;
     }
 
     public String requestClass() {
         return requestClass;
     }
 
-    /** The tenant, or null where the rule says none. */
+    /** The tenant, or null if the rule sets none. */
     public String tenant() {
         return tenant;
     }
 
-    /** The group, or -1. */
+    /** The group, or -1 if the rule sets none. */
     public long group() {
         return group;
     }
 
-    /** The key of the session, or null. */
+    /** The session key, or null if the rule sets none. */
     public String session() {
         return session;
     }
 
-    /** The longest wait in ns, or -1. */
-    public long longestWait() {
-        return wait;
+    /** The maximum time to wait for an answer in ns, or -1 if the rule sets none. */
+    public long maxWaitNs() {
+        return maxWaitNs;
     }
 
-    /** Whether the request is a client's second try. */
+    /** Whether the request is a retry by the client. */
     public boolean retry() {
         return retry;
     }
 
-    /** Whom the rule's limit counts this request for, or null where it has none. */
+    /** The key that the rule's limit counts this request under, or null if the rule has no limit. */
     public String limitKey() {
         return limitKey;
     }
--- a/expression/src/main/java/ledgewall/rules/Limiter.java
+++ b/expression/src/main/java/ledgewall/rules/Limiter.java
@@ -4,89 +4,96 @@
 import java.util.Map;
 
 /**
- * One rule's limits, by key: so many requests a second, by a token bucket, and so many at once. It has no clock: time is
- * handed in, in ns, and never goes back by more than a turn. Of keys it remembers a stated number; beyond it the least
- * recently used one that has nothing in hand gives way, and a key that comes back begins with a full bucket. Where all
- * have something in hand, a new key is refused: memory has a bound whatever keys clients make up.
+ * Limits the requests of one rule for each key: the rate by a token bucket, and the number in flight. It has no clock: the
+ * caller passes the time in ns, which may go back by at most the duration of one event-loop iteration. The number of keys
+ * tracked is bounded. At the bound, a new key evicts the least recently used key with no request in flight; an evicted key
+ * that returns starts with a full bucket. If all keys have requests in flight, the new key is refused, so memory stays
+ * bounded whatever keys clients invent.
  */
 public final class Limiter {
-    private static final double SECOND = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     /**
-     * What a rule allows.
+     * The limits of a rule.
      *
-     * @param rate requests a second and key; 0 for any number
-     * @param burst requests that may come at once after a pause
-     * @param concurrent requests in hand at once for one key; 0 for any number
-     * @param keys remembered at most
+     * @param ratePerSecond requests per second for each key; 0 for unlimited
+     * @param burst capacity of a key's token bucket, in requests
+     * @param maxConcurrent maximum number of requests in flight for each key; 0 for unlimited
+     * @param maxKeys maximum number of keys tracked
      */
-    public record Allowance(double rate, double burst, int concurrent, int keys) {
-        /** What is wrong with it, or null. */
-        public String problem() {
-            return !(rate >= 0 && rate <= 1e9) ? "a rate is from 0 to 1e9 a second"
-                : rate > 0 && !(burst >= 1 && burst <= 1e9) ? "a burst is from 1 to 1e9"
-                : concurrent < 0 ? "a number at once is 0 or more"
-                : rate == 0 && concurrent == 0 ? "neither a rate nor a number at once is limited"
-                : keys < 1 || keys > 1_000_000 ? "keys are from 1 to 1000000" : null;
+    public record Config(double ratePerSecond, double burst, int maxConcurrent, int maxKeys) {
+        /** Why these limits are invalid, or null if they are valid. */
+        public String validationError() {
+            return !(ratePerSecond >= 0 && ratePerSecond <= 1e9) ? "a rate is from 0 to 1e9 a second"
+                : ratePerSecond > 0 && !(burst >= 1 && burst <= 1e9) ? "a burst is from 1 to 1e9"
+                : maxConcurrent < 0 ? "concurrent is 0 or more"
+                : ratePerSecond == 0 && maxConcurrent == 0 ? "neither a rate nor a number at once is limited"
+                : maxKeys < 1 || maxKeys > 1_000_000 ? "keys are from 1 to 1000000" : null;
         }
     }
 
-    /** Why a request was refused, or that it was not. */
-    public enum Verdict { ADMITTED, RATE, CONCURRENCY, KEYS }
+    /**
+     * Whether a request is admitted, or else the limit that refuses it: the rate, the number in flight, or the number of
+     * keys tracked.
+     */
+    public enum Admission { ADMITTED, RATE, CONCURRENCY, KEYS }
 
     private static final class Bucket {
         private double tokens;
-        private long filledAt;
-        private int inHand;
+        private long refilledAtNs;
+        private int inFlight;
     }
 
-    private final Allowance allowance;
-    /** The least recently used first; a bucket leaves when another needs its place and nothing of it is in hand. */
+    private final Config config;
+    /** In order of last use, least recent first. A bucket with no request in flight is evicted if a new key needs room. */
     private final Map<String, Bucket> buckets = new LinkedHashMap<>(16, 0.75f, true);
 
-    public Limiter(Allowance allowance) {
-        this.allowance = allowance;
+    public Limiter(Config config) {
+        this.config = config;
     }
 
-    /** Whether a request of this key may go on; one that is admitted must be {@link #release released} once. */
-    public Verdict admit(String key, long now) {
+    /** Decides whether to admit a request of this key. An admitted request must be {@link #release released} exactly once. */
+    public Admission admit(String key, long nowNs) {
         Bucket bucket = buckets.get(key);
         if (bucket == null) {
-            if (buckets.size() >= allowance.keys() && !makeRoom()) {
-                return Verdict.KEYS;
+            if (buckets.size() >= config.maxKeys() && !evictIdleBucket()) {
+                return Admission.KEYS;
             }
             bucket = new Bucket();
-            bucket.tokens = allowance.burst();
-            bucket.filledAt = now;
+            bucket.tokens = config.burst();
+            bucket.refilledAtNs = nowNs;
             buckets.put(key, bucket);
         }
-        if (allowance.concurrent() > 0 && bucket.inHand >= allowance.concurrent()) {
-            return Verdict.CONCURRENCY;
+        if (config.maxConcurrent() > 0 && bucket.inFlight >= config.maxConcurrent()) {
+            return Admission.CONCURRENCY;
         }
-        if (allowance.rate() > 0) {
-            fill(bucket, now);
+        if (config.ratePerSecond() > 0) {
+            refill(bucket, nowNs);
             if (bucket.tokens < 1) {
-                return Verdict.RATE;
+                return Admission.RATE;
             }
             bucket.tokens--;
         }
-        bucket.inHand++;
-        return Verdict.ADMITTED;
+        bucket.inFlight++;
+        return Admission.ADMITTED;
     }
 
-    private void fill(Bucket bucket, long now) {
-        if (now > bucket.filledAt) {
-            double gained = (now - bucket.filledAt) / SECOND * allowance.rate();
-            bucket.tokens = Math.min(allowance.burst(), bucket.tokens + gained);
-            bucket.filledAt = now;
+    private void refill(Bucket bucket, long nowNs) {
+        if (nowNs > bucket.refilledAtNs) {
+            double refilled = (nowNs - bucket.refilledAtNs) / NANOS_PER_SECOND * config.ratePerSecond();
+            bucket.tokens = Math.min(config.burst(), bucket.tokens + refilled);
+            bucket.refilledAtNs = nowNs;
         }
     }
 
-    /** The least recently used that can go; looks at a few only, so that a full table costs no more than a small one. */
-    private boolean makeRoom() {
-        int looked = 0;
-        for (var entries = buckets.entrySet().iterator(); entries.hasNext() && looked < 8; looked++) {
-            if (entries.next().getValue().inHand == 0) {
+    /**
+     * Evicts the least recently used bucket that has no request in flight. Scans only the 8 oldest buckets, so that the cost
+     * doesn't grow with the number of keys.
+     */
+    private boolean evictIdleBucket() {
+        int scanned = 0;
+        for (var entries = buckets.entrySet().iterator(); entries.hasNext() && scanned < 8; scanned++) {
+            if (entries.next().getValue().inFlight == 0) {
                 entries.remove();
                 return true;
             }
@@ -94,25 +101,26 @@
         return false;
     }
 
-    /** A request that was admitted is over. */
+    /** Marks an admitted request of this key as ended. */
     public void release(String key) {
         Bucket bucket = buckets.get(key);
-        if (bucket != null && bucket.inHand > 0) {
-            bucket.inHand--;
+        if (bucket != null && bucket.inFlight > 0) {
+            bucket.inFlight--;
         }
     }
 
-    /** In how long a request of this key may be admitted by its rate, in ns; 0 for at once. */
-    public long retryAfter(String key, long now) {
+    /** The time in ns until the rate limit can admit a request of this key; 0 if it can now. */
+    public long retryAfterNs(String key, long nowNs) {
         Bucket bucket = buckets.get(key);
-        if (bucket == null || allowance.rate() == 0) {
+        if (bucket == null || config.ratePerSecond() == 0) {
             return 0;
         }
-        fill(bucket, now);
-        return bucket.tokens >= 1 ? 0 : (long) Math.ceil((1 - bucket.tokens) / allowance.rate() * SECOND);
+        refill(bucket, nowNs);
+        return bucket.tokens >= 1 ? 0 : (long) Math.ceil((1 - bucket.tokens) / config.ratePerSecond() * NANOS_PER_SECOND);
     }
 
-    public int keys() {
+    /** The number of keys that are tracked now. */
+    public int keyCount() {
         return buckets.size();
     }
 }
--- a/expression/src/main/java/ledgewall/rules/PrefixTable.java
+++ b/expression/src/main/java/ledgewall/rules/PrefixTable.java
@@ -2,45 +2,46 @@
 
 import java.util.Map;
 
-/** Finds all of some prefixes that a text begins with, in one walk over it and without a new object. */
+/** Maps prefixes to rules. Finds every prefix of a text in a single pass over it, without allocation. */
 final class PrefixTable {
-    private final int[] lengths;
-    /** Open addressing, at most half full: a prefix's list stands at its hash or behind it. */
+    private final int[] prefixLengths;
+    /** Open-addressing hash table with linear probing and a load factor of at most one half. */
     private final String[] keys;
-    private final int[][] lists;
+    private final int[][] rulesByPrefix;
 
     PrefixTable(Map<String, int[]> prefixes) {
-        lengths = prefixes.keySet().stream().mapToInt(String::length).distinct().sorted().toArray();
-        int size = Integer.highestOneBit(Math.max(1, prefixes.size())) * 4;
-        keys = new String[size];
-        lists = new int[size][];
-        prefixes.forEach((prefix, list) -> {
-            int place = place(prefix.hashCode());
-            while (keys[place] != null) {
-                place = (place + 1) & (keys.length - 1);
+        prefixLengths = prefixes.keySet().stream().mapToInt(String::length).distinct().sorted().toArray();
+        int capacity = Integer.highestOneBit(Math.max(1, prefixes.size())) * 4;
+        keys = new String[capacity];
+        rulesByPrefix = new int[capacity][];
+        prefixes.forEach((prefix, rules) -> {
+            int slot = slot(prefix.hashCode());
+            while (keys[slot] != null) {
+                slot = (slot + 1) & (keys.length - 1);
             }
-            keys[place] = prefix;
-            lists[place] = list;
+            keys[slot] = prefix;
+            rulesByPrefix[slot] = rules;
         });
     }
 
-    private int place(int hash) {
+    private int slot(int hash) {
         return (hash ^ hash >>> 15) & (keys.length - 1);
     }
 
-    void gather(String text, RuleIndex.Scratch into) {
+    /** Adds the rules of each prefix that the text starts with. */
+    void addMatches(String text, RuleIndex.Scratch scratch) {
         int hash = 0;
-        int at = 0;
-        for (int length : lengths) {
+        int hashedLength = 0;
+        for (int length : prefixLengths) {
             if (length > text.length()) {
                 return;
             }
-            for (; at < length; at++) {
-                hash = 31 * hash + text.charAt(at); // as String.hashCode has it
+            for (; hashedLength < length; hashedLength++) {
+                hash = 31 * hash + text.charAt(hashedLength); // same hash as String.hashCode
             }
-            for (int place = place(hash); keys[place] != null; place = (place + 1) & (keys.length - 1)) {
-                if (keys[place].length() == length && text.startsWith(keys[place])) {
-                    into.add(lists[place]);
+            for (int slot = slot(hash); keys[slot] != null; slot = (slot + 1) & (keys.length - 1)) {
+                if (keys[slot].length() == length && text.startsWith(keys[slot])) {
+                    scratch.add(rulesByPrefix[slot]);
                     break;
                 }
             }
--- a/expression/src/main/java/ledgewall/rules/RuleException.java
+++ b/expression/src/main/java/ledgewall/rules/RuleException.java
@@ -3,31 +3,31 @@
 import ledgewall.expression.ExpressionException;
 import ledgewall.expression.Position;
 
-/** A table that is not accepted: which rule, which of its settings, and what is wrong there. */
+/** Reports an invalid rule table. The message names the rule, the setting and the error. */
 public final class RuleException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    private final String where;
+    private final String location;
     private final String source;
 
-    RuleException(String where, String reason) {
-        super(where + ": " + reason);
-        this.where = where;
+    RuleException(String location, String reason) {
+        super(location + ": " + reason);
+        this.location = location;
         this.source = null;
     }
 
-    RuleException(String where, String source, ExpressionException cause) {
-        super(where + ": " + cause.getMessage(), cause);
-        this.where = where;
+    RuleException(String location, String source, ExpressionException cause) {
+        super(location + ": " + cause.getMessage(), cause);
+        this.location = location;
         this.source = source;
     }
 
-    /** The message, with the line of the expression and a caret where it is about one. */
+    /** The message; for an error in an expression, also the expression's line with a caret under the error. */
     public String show() {
-        return getCause() instanceof ExpressionException e ? e.show(where, source) : getMessage();
+        return getCause() instanceof ExpressionException e ? e.show(location, source) : getMessage();
     }
 
-    /** The place in the expression, or null where it is about something else. */
+    /** The position in the expression, or null if the error isn't in an expression. */
     public Position position() {
         return getCause() instanceof ExpressionException e ? e.position() : null;
     }
--- a/expression/src/main/java/ledgewall/rules/RuleIndex.java
+++ b/expression/src/main/java/ledgewall/rules/RuleIndex.java
@@ -13,200 +13,212 @@
 import ledgewall.expression.Requirement.Subject;
 
 /**
- * Which of many rules a request may match: those whose plain requirement it meets, and those without one, in their order.
- * Each rule stands under one requirement alone, the one that is met least often as far as can be told.
+ * Finds the rules that a request can match: those whose indexed requirement it meets, and those that can't be indexed, in
+ * the order of the table. Each rule is indexed by a single requirement, the one that is estimated to be most selective.
  */
 final class RuleIndex {
-    /** How a rule is found. */
-    enum Way { EQUALITY, PREFIX, RANGE, SCAN }
-
-    /** What stands under one subject. */
-    private static final class Shelf {
-        private final Map<Object, int[]> equal = new HashMap<>();
-        private final Map<String, int[]> prefixes = new HashMap<>();
-        private PrefixTable table = new PrefixTable(Map.of());
-        private long[] starts = {};
-        private int[][] spans = {};
+    /** How the index finds a rule. {@code SCAN} means that the rule is not indexed and is tried for every request. */
+    enum Lookup { EQUALITY, PREFIX, RANGE, SCAN }
+
+    /** The rules that are indexed by one subject: an attribute or an entry of a map attribute. */
+    private static final class SubjectIndex {
+        private final Map<Object, int[]> rulesByValue = new HashMap<>();
+        private final Map<String, int[]> rulesByPrefix = new HashMap<>();
+        private PrefixTable prefixTable = new PrefixTable(Map.of());
+        /** Sorted points at which the set of ranges that contain a value changes. */
+        private long[] rangeStarts = {};
+        /** Segment tree over the intervals between {@link #rangeStarts}: the rules stored at each node. */
+        private int[][] rulesByNode = {};
     }
 
-    private final Map<Subject, Shelf> shelves = new LinkedHashMap<>();
-    private final Subject[] subjects;
-    private final Shelf[] shelfOf;
-    private final int[] always;
-    private final Way[] ways;
+    private final Map<Subject, SubjectIndex> indexes = new LinkedHashMap<>();
+    private final Subject[] indexedSubjects;
+    private final SubjectIndex[] subjectIndexes;
+    private final int[] unindexedRules;
+    private final Lookup[] lookups;
 
     RuleIndex(List<Program> conditions) {
-        ways = new Way[conditions.size()];
-        Map<Subject, Map<Object, Integer>> popular = new HashMap<>();
+        lookups = new Lookup[conditions.size()];
+        Map<Subject, Map<Object, Integer>> valueCounts = new HashMap<>();
         for (Program condition : conditions) {
             for (Requirement requirement : condition.requirements()) {
                 if (requirement.values() != null) {
-                    requirement.values().forEach(value -> popular.computeIfAbsent(requirement.subject(), s -> new HashMap<>())
+                    requirement.values().forEach(value -> valueCounts.computeIfAbsent(requirement.subject(), s -> new HashMap<>())
                         .merge(value, 1, Integer::sum));
                 }
             }
         }
-        Map<Subject, List<Integer>> ranged = new LinkedHashMap<>();
+        Map<Subject, List<Integer>> rangeRulesBySubject = new LinkedHashMap<>();
         Requirement[] chosen = new Requirement[conditions.size()];
-        List<Integer> unplaced = new ArrayList<>();
-        for (int rule = 0; rule < ways.length; rule++) {
-            chosen[rule] = best(conditions.get(rule).requirements(), popular);
-            ways[rule] = place(rule, chosen[rule], ranged, unplaced);
+        List<Integer> unindexed = new ArrayList<>();
+        for (int rule = 0; rule < lookups.length; rule++) {
+            chosen[rule] = mostSelective(conditions.get(rule).requirements(), valueCounts);
+            lookups[rule] = addToIndex(rule, chosen[rule], rangeRulesBySubject, unindexed);
         }
-        ranged.forEach((subject, rules) -> spans(shelf(subject), rules, chosen));
-        always = unplaced.stream().mapToInt(Integer::intValue).toArray();
-        subjects = shelves.keySet().toArray(new Subject[0]);
-        shelfOf = shelves.values().toArray(new Shelf[0]);
-        for (Shelf shelf : shelfOf) {
-            shelf.table = new PrefixTable(shelf.prefixes);
+        rangeRulesBySubject.forEach((subject, rules) -> buildRangeTree(subjectIndex(subject), rules, chosen));
+        unindexedRules = unindexed.stream().mapToInt(Integer::intValue).toArray();
+        indexedSubjects = indexes.keySet().toArray(new Subject[0]);
+        subjectIndexes = indexes.values().toArray(new SubjectIndex[0]);
+        for (SubjectIndex subjectIndex : subjectIndexes) {
+            subjectIndex.prefixTable = new PrefixTable(subjectIndex.rulesByPrefix);
         }
     }
 
-    private Shelf shelf(Subject subject) {
-        return shelves.computeIfAbsent(subject, s -> new Shelf());
+    private SubjectIndex subjectIndex(Subject subject) {
+        return indexes.computeIfAbsent(subject, s -> new SubjectIndex());
     }
 
-    private static Requirement best(List<Requirement> all, Map<Subject, Map<Object, Integer>> popular) {
-        Requirement best = null;
-        double least = Double.MAX_VALUE;
-        for (Requirement one : all) {
-            double shared = one.values() != null
-                ? one.values().stream().mapToInt(v -> popular.get(one.subject()).get(v)).max().orElse(0)
-                : one.prefix() != null ? 1e6 - one.prefix().length() : one.most() - one.least() < 0 ? 4e6 : 2e6;
-            if (shared < least) {
-                least = shared;
-                best = one;
+    /**
+     * The requirement with the lowest score. A set of values scores the number of rules that share its most common value. It
+     * is preferred to a prefix, a longer prefix to a shorter one, and any prefix to a range. A range that spans more than
+     * half of all values, so that the subtraction overflows, scores worst.
+     */
+    private static Requirement mostSelective(List<Requirement> requirements, Map<Subject, Map<Object, Integer>> valueCounts) {
+        Requirement mostSelective = null;
+        double lowestScore = Double.MAX_VALUE;
+        for (Requirement requirement : requirements) {
+            double score = requirement.values() != null
+                ? requirement.values().stream().mapToInt(v -> valueCounts.get(requirement.subject()).get(v)).max().orElse(0)
+                : requirement.prefix() != null ? 1e6 - requirement.prefix().length()
+                : requirement.most() - requirement.least() < 0 ? 4e6 : 2e6;
+            if (score < lowestScore) {
+                lowestScore = score;
+                mostSelective = requirement;
             }
         }
-        return best;
+        return mostSelective;
     }
 
-    private Way place(int rule, Requirement one, Map<Subject, List<Integer>> ranged, List<Integer> unplaced) {
-        if (one == null) {
-            unplaced.add(rule);
-            return Way.SCAN;
+    private Lookup addToIndex(int rule, Requirement requirement, Map<Subject, List<Integer>> rangeRulesBySubject,
+            List<Integer> unindexed) {
+        if (requirement == null) {
+            unindexed.add(rule);
+            return Lookup.SCAN;
         }
-        if (one.values() != null) {
-            one.values().forEach(value -> shelf(one.subject()).equal.merge(value, new int[] {rule}, RuleIndex::joined));
-            return Way.EQUALITY;
+        if (requirement.values() != null) {
+            requirement.values().forEach(value -> subjectIndex(requirement.subject()).rulesByValue
+                .merge(value, new int[] {rule}, RuleIndex::concat));
+            return Lookup.EQUALITY;
         }
-        if (one.prefix() != null) {
-            shelf(one.subject()).prefixes.merge(one.prefix(), new int[] {rule}, RuleIndex::joined);
-            return Way.PREFIX;
+        if (requirement.prefix() != null) {
+            subjectIndex(requirement.subject()).rulesByPrefix.merge(requirement.prefix(), new int[] {rule}, RuleIndex::concat);
+            return Lookup.PREFIX;
         }
-        ranged.computeIfAbsent(one.subject(), s -> new ArrayList<>()).add(rule);
-        return Way.RANGE;
+        rangeRulesBySubject.computeIfAbsent(requirement.subject(), s -> new ArrayList<>()).add(rule);
+        return Lookup.RANGE;
     }
 
-    private static int[] joined(int[] some, int[] more) {
-        int[] all = Arrays.copyOf(some, some.length + more.length);
-        System.arraycopy(more, 0, all, some.length, more.length);
+    private static int[] concat(int[] first, int[] second) {
+        int[] all = Arrays.copyOf(first, first.length + second.length);
+        System.arraycopy(second, 0, all, first.length, second.length);
         return all;
     }
 
     /**
-     * A tree over the places where ranges begin or end: each range stands at the few nodes that make it up, so that memory
-     * grows with n log n, and a look-up reads one node a level.
+     * Builds a segment tree over the points where ranges begin or end. Each range is stored at the O(log n) nodes that cover
+     * it, so memory is O(n log n), and a lookup reads one node per level.
      */
-    private static void spans(Shelf shelf, List<Integer> rules, Requirement[] chosen) {
-        TreeSet<Long> cuts = new TreeSet<>(List.of(Long.MIN_VALUE));
+    private static void buildRangeTree(SubjectIndex subjectIndex, List<Integer> rules, Requirement[] chosen) {
+        TreeSet<Long> boundaries = new TreeSet<>(List.of(Long.MIN_VALUE));
         for (int rule : rules) {
-            cuts.add(chosen[rule].least());
+            boundaries.add(chosen[rule].least());
             if (chosen[rule].most() < Long.MAX_VALUE) {
-                cuts.add(chosen[rule].most() + 1);
+                boundaries.add(chosen[rule].most() + 1);
             }
         }
-        shelf.starts = cuts.stream().mapToLong(Long::longValue).toArray();
-        int leaves = Integer.highestOneBit(Math.max(1, shelf.starts.length - 1)) * 2;
-        shelf.spans = new int[2 * leaves][];
+        subjectIndex.rangeStarts = boundaries.stream().mapToLong(Long::longValue).toArray();
+        int leaves = Integer.highestOneBit(Math.max(1, subjectIndex.rangeStarts.length - 1)) * 2;
+        subjectIndex.rulesByNode = new int[2 * leaves][];
         for (int rule : rules) {
-            int from = Arrays.binarySearch(shelf.starts, chosen[rule].least()) + leaves;
-            int to = chosen[rule].most() == Long.MAX_VALUE ? shelf.starts.length + leaves
-                : Arrays.binarySearch(shelf.starts, chosen[rule].most() + 1) + leaves;
-            for (; from < to; from /= 2, to /= 2) {
-                if (from % 2 == 1) {
-                    put(shelf.spans, from++, rule);
+            int leftNode = Arrays.binarySearch(subjectIndex.rangeStarts, chosen[rule].least()) + leaves;
+            int rightNode = chosen[rule].most() == Long.MAX_VALUE ? subjectIndex.rangeStarts.length + leaves
+                : Arrays.binarySearch(subjectIndex.rangeStarts, chosen[rule].most() + 1) + leaves;
+            for (; leftNode < rightNode; leftNode /= 2, rightNode /= 2) {
+                if (leftNode % 2 == 1) {
+                    addToNode(subjectIndex.rulesByNode, leftNode++, rule);
                 }
-                if (to % 2 == 1) {
-                    put(shelf.spans, --to, rule);
+                if (rightNode % 2 == 1) {
+                    addToNode(subjectIndex.rulesByNode, --rightNode, rule);
                 }
             }
         }
     }
 
-    private static void put(int[][] spans, int node, int rule) {
-        spans[node] = spans[node] == null ? new int[] {rule} : joined(spans[node], new int[] {rule});
+    private static void addToNode(int[][] rulesByNode, int node, int rule) {
+        rulesByNode[node] = rulesByNode[node] == null ? new int[] {rule} : concat(rulesByNode[node], new int[] {rule});
     }
 
-    Way way(int rule) {
-        return ways[rule];
+    Lookup lookup(int rule) {
+        return lookups[rule];
     }
 
-    /** Takes rules in their order until one is accepted. */
-    interface Visitor {
+    /** Tested on the candidate rules in order, until it accepts one. */
+    interface RulePredicate {
         boolean accepts(int rule);
     }
 
-    /** What one look-up works with; kept by whoever asks, so that asking allocates nothing. */
+    /** Buffers of one lookup. The caller keeps and reuses them, so that a lookup doesn't allocate. */
     static final class Scratch {
-        private int[][] lists = new int[16][];
-        private int[] places = new int[16];
+        /** Candidate rules, each list in ascending order. */
+        private int[][] ruleLists = new int[16][];
+        /** Index of the next rule in each list. */
+        private int[] offsets = new int[16];
         private int count;
 
-        void add(int[] list) {
-            if (list == null || list.length == 0) {
+        void add(int[] rules) {
+            if (rules == null || rules.length == 0) {
                 return;
             }
-            if (count == lists.length) {
-                lists = Arrays.copyOf(lists, 2 * count);
-                places = Arrays.copyOf(places, 2 * count);
+            if (count == ruleLists.length) {
+                ruleLists = Arrays.copyOf(ruleLists, 2 * count);
+                offsets = Arrays.copyOf(offsets, 2 * count);
             }
-            lists[count] = list;
-            places[count++] = 0;
+            ruleLists[count] = rules;
+            offsets[count++] = 0;
         }
     }
 
-    /** The first rule that the visitor accepts among those that the request may match, or -1. */
-    int first(Frame frame, Scratch scratch, Visitor visitor) {
+    /** The first rule that the predicate accepts among those that the request can match, or -1. */
+    int firstAccepted(Frame frame, Scratch scratch, RulePredicate predicate) {
         scratch.count = 0;
-        scratch.add(always);
-        for (int i = 0; i < subjects.length; i++) {
-            Object value = subjects[i].value(frame);
+        scratch.add(unindexedRules);
+        for (int i = 0; i < indexedSubjects.length; i++) {
+            Object value = indexedSubjects[i].value(frame);
             if (value != null) {
-                gather(shelfOf[i], value, scratch);
+                addCandidates(subjectIndexes[i], value, scratch);
             }
         }
         while (true) {
             int next = Integer.MAX_VALUE;
             for (int i = 0; i < scratch.count; i++) {
-                if (scratch.places[i] < scratch.lists[i].length) {
-                    next = Math.min(next, scratch.lists[i][scratch.places[i]]);
+                if (scratch.offsets[i] < scratch.ruleLists[i].length) {
+                    next = Math.min(next, scratch.ruleLists[i][scratch.offsets[i]]);
                 }
             }
             if (next == Integer.MAX_VALUE) {
                 return -1;
             }
-            if (visitor.accepts(next)) {
+            if (predicate.accepts(next)) {
                 return next;
             }
             for (int i = 0; i < scratch.count; i++) {
-                if (scratch.places[i] < scratch.lists[i].length && scratch.lists[i][scratch.places[i]] == next) {
-                    scratch.places[i]++;
+                if (scratch.offsets[i] < scratch.ruleLists[i].length && scratch.ruleLists[i][scratch.offsets[i]] == next) {
+                    scratch.offsets[i]++;
                 }
             }
         }
     }
 
-    private static void gather(Shelf shelf, Object value, Scratch scratch) {
-        scratch.add(shelf.equal.get(value));
+    private static void addCandidates(SubjectIndex subjectIndex, Object value, Scratch scratch) {
+        scratch.add(subjectIndex.rulesByValue.get(value));
         if (value instanceof String text) {
-            shelf.table.gather(text, scratch);
+            subjectIndex.prefixTable.addMatches(text, scratch);
         }
-        if (value instanceof Long number && shelf.starts.length > 0) {
-            int place = Arrays.binarySearch(shelf.starts, number);
-            int node = (place < 0 ? -place - 2 : place) + shelf.spans.length / 2;
+        if (value instanceof Long number && subjectIndex.rangeStarts.length > 0) {
+            int index = Arrays.binarySearch(subjectIndex.rangeStarts, number);
+            int node = (index < 0 ? -index - 2 : index) + subjectIndex.rulesByNode.length / 2;
             for (; node > 0; node /= 2) {
-                scratch.add(shelf.spans[node]);
+                scratch.add(subjectIndex.rulesByNode[node]);
             }
         }
     }
--- a/expression/src/main/java/ledgewall/rules/RuleTable.java
+++ b/expression/src/main/java/ledgewall/rules/RuleTable.java
@@ -18,141 +18,144 @@
 import ledgewall.rules.Rule.Output;
 
 /**
- * Rules in their order: the first whose condition holds says what a request is. Checked whole before any request sees it,
- * and never changed then. One thread at a time may ask.
+ * An ordered list of rules: the first rule whose condition holds classifies the request. All rules are compiled and checked
+ * when the table is built; the rules don't change after that. Not thread-safe: a lookup uses shared buffers and counters.
  */
 public final class RuleTable {
-    /** Rules in one table at most: a look-up and a reload stay short. */
-    private static final int MOST_RULES = 100_000;
-    private static final Map<Output, Type> TYPES = new EnumMap<>(Map.of(Output.TENANT, Type.STRING, Output.GROUP, Type.INT,
+    /** Maximum number of rules in a table, which bounds the time of a lookup and of a reload. */
+    private static final int MAX_RULES = 100_000;
+    private static final Map<Output, Type> OUTPUT_TYPES = new EnumMap<>(Map.of(Output.TENANT, Type.STRING, Output.GROUP, Type.INT,
         Output.SESSION, Type.STRING, Output.WAIT, Type.DURATION, Output.RETRY, Type.BOOL));
 
     /** A rule with its expressions compiled. */
-    private record Line(Rule rule, Program match, Map<Output, Program> outputs, Program limitKey) { }
+    private record CompiledRule(Rule rule, Program match, Map<Output, Program> outputs, Program limitKey) { }
 
     private final Schema schema;
-    private final List<Line> lines;
+    private final List<CompiledRule> compiledRules;
     private final RuleIndex index;
     private final RuleIndex.Scratch scratch = new RuleIndex.Scratch();
     private final List<String> warnings = new ArrayList<>();
-    /** Conditions and outputs that were errors, by rule and kind. */
-    private final long[][] errors;
-    private final long[] matches;
-    private long unmatched;
-    /** The request in hand, so that asking allocates nothing. */
-    private Frame asked;
-    private final RuleIndex.Visitor visitor = this::holds;
+    /** Number of conditions and outputs that evaluated to an error, by rule and error kind. */
+    private final long[][] errorCounts;
+    private final long[] matchCounts;
+    private long unmatchedCount;
+    /** The frame of the lookup in progress; a field rather than a lambda capture, so that a lookup doesn't allocate. */
+    private Frame currentFrame;
+    private final RuleIndex.RulePredicate matchesCurrentFrame = this::conditionHolds;
 
     /**
-     * Compiles and checks a table.
+     * Compiles and checks rules.
      *
-     * @param named expressions that rules and later named ones can use, in their order
-     * @param classes the classes that exist
+     * @param namedExpressions expressions that rules and later named expressions can refer to, in order of definition
+     * @param classes names of the classes in the router's settings
      */
-    public static RuleTable of(Schema schema, Limits limits, Map<String, String> named, List<Rule> rules, Set<String> classes)
-            throws RuleException {
+    public static RuleTable of(Schema schema, Limits limits, Map<String, String> namedExpressions, List<Rule> rules,
+            Set<String> classes) throws RuleException {
         Expressions expressions = new Expressions(schema, limits);
-        for (Map.Entry<String, String> one : named.entrySet()) {
-            String where = "expression \"" + one.getKey() + "\"";
+        for (Map.Entry<String, String> entry : namedExpressions.entrySet()) {
+            String location = "expression \"" + entry.getKey() + "\"";
             try {
-                expressions.define(one.getKey(), one.getValue());
+                expressions.define(entry.getKey(), entry.getValue());
             } catch (ExpressionException e) {
-                throw new RuleException(where, one.getValue(), e);
+                throw new RuleException(location, entry.getValue(), e);
             }
         }
-        if (rules.size() > MOST_RULES) {
-            throw new RuleException("rules", rules.size() + " of them, " + MOST_RULES + " at most");
+        if (rules.size() > MAX_RULES) {
+            throw new RuleException("rules", rules.size() + " of them, " + MAX_RULES + " at most");
         }
-        List<Line> lines = new ArrayList<>();
+        List<CompiledRule> compiledRules = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Rule rule : rules) {
             if (!names.add(rule.name())) {
                 throw new RuleException("rule \"" + rule.name() + "\"", "another rule has this name");
             }
-            lines.add(line(rule, expressions, classes));
+            compiledRules.add(compileRule(rule, expressions, classes));
         }
-        List<Program> conditions = expressions.share(lines.stream().map(Line::match).toList());
-        for (int i = 0; i < lines.size(); i++) {
-            Line line = lines.get(i);
-            lines.set(i, new Line(line.rule(), conditions.get(i), line.outputs(), line.limitKey()));
+        List<Program> conditions = expressions.share(compiledRules.stream().map(CompiledRule::match).toList());
+        for (int i = 0; i < compiledRules.size(); i++) {
+            CompiledRule compiled = compiledRules.get(i);
+            compiledRules.set(i, new CompiledRule(compiled.rule(), conditions.get(i), compiled.outputs(), compiled.limitKey()));
         }
-        return new RuleTable(schema, lines);
+        return new RuleTable(schema, compiledRules);
     }
 
-    private static Line line(Rule rule, Expressions expressions, Set<String> classes) throws RuleException {
-        String where = "rule \"" + rule.name() + "\"";
-        Program match = compile(where + ", match", rule.match(), Type.BOOL, expressions);
+    private static CompiledRule compileRule(Rule rule, Expressions expressions, Set<String> classes) throws RuleException {
+        String location = "rule \"" + rule.name() + "\"";
+        Program match = compile(location + ", match", rule.match(), Type.BOOL, expressions);
         if (!classes.contains(rule.requestClass())) {
-            throw new RuleException(where + ", class", "no class '" + rule.requestClass() + "'; there are "
+            throw new RuleException(location + ", class", "no class '" + rule.requestClass() + "'; there are "
                 + String.join(", ", classes.stream().sorted().toList()));
         }
         Map<Output, Program> outputs = new EnumMap<>(Output.class);
-        for (Map.Entry<Output, String> one : rule.outputs().entrySet()) {
-            String name = one.getKey().name().toLowerCase(java.util.Locale.ROOT);
-            outputs.put(one.getKey(), compile(where + ", " + name, one.getValue(), TYPES.get(one.getKey()), expressions));
+        for (Map.Entry<Output, String> entry : rule.outputs().entrySet()) {
+            String name = entry.getKey().name().toLowerCase(java.util.Locale.ROOT);
+            outputs.put(entry.getKey(), compile(location + ", " + name, entry.getValue(), OUTPUT_TYPES.get(entry.getKey()),
+                expressions));
         }
-        String problem = rule.limit() == null ? null : rule.limit().problem();
-        if (problem != null) {
-            throw new RuleException(where + ", limit", problem);
+        String limitError = rule.limit() == null ? null : rule.limit().validationError();
+        if (limitError != null) {
+            throw new RuleException(location + ", limit", limitError);
         }
         Program key = rule.limitKey() == null ? null
-            : compile(where + ", limit, key", rule.limitKey(), Type.STRING, expressions);
-        return new Line(rule, match, outputs, key);
+            : compile(location + ", limit, key", rule.limitKey(), Type.STRING, expressions);
+        return new CompiledRule(rule, match, outputs, key);
     }
 
-    private static Program compile(String where, String source, Type wanted, Expressions expressions) throws RuleException {
+    private static Program compile(String location, String source, Type expectedType, Expressions expressions)
+            throws RuleException {
         try {
             Program program = expressions.compile(source);
-            if (!program.type().equals(wanted)) {
-                throw new RuleException(where, "is to be " + wanted + ", this is " + program.type() + ": " + source.strip());
+            if (!program.type().equals(expectedType)) {
+                throw new RuleException(location, "is to be " + expectedType + ", this is " + program.type() + ": "
+                    + source.strip());
             }
             return program;
         } catch (ExpressionException e) {
-            throw new RuleException(where, source, e);
+            throw new RuleException(location, source, e);
         }
     }
 
-    private RuleTable(Schema schema, List<Line> lines) {
+    private RuleTable(Schema schema, List<CompiledRule> compiledRules) {
         this.schema = schema;
-        this.lines = lines;
-        this.index = new RuleIndex(lines.stream().map(Line::match).toList());
-        this.errors = new long[lines.size()][ErrorKind.values().length];
-        this.matches = new long[lines.size()];
-        analyse();
+        this.compiledRules = compiledRules;
+        this.index = new RuleIndex(compiledRules.stream().map(CompiledRule::match).toList());
+        this.errorCounts = new long[compiledRules.size()][ErrorKind.values().length];
+        this.matchCounts = new long[compiledRules.size()];
+        findWarnings();
     }
 
-    /** Rules that cannot match, as far as can be proved, and whether any request can match none. */
-    private void analyse() {
-        boolean isDefault = false;
-        for (int i = 0; i < lines.size(); i++) {
-            Line line = lines.get(i);
-            if (Boolean.FALSE.equals(line.match().constant())) {
-                warnings.add("rule \"" + line.rule().name() + "\" never matches: its condition is always false");
+    /** Adds warnings about rules that provably never match, and about a table without a rule that matches every request. */
+    private void findWarnings() {
+        boolean hasCatchAll = false;
+        for (int i = 0; i < compiledRules.size(); i++) {
+            CompiledRule compiled = compiledRules.get(i);
+            if (Boolean.FALSE.equals(compiled.match().constant())) {
+                warnings.add("rule \"" + compiled.rule().name() + "\" never matches: its condition is always false");
             }
-            for (int earlier : candidates(i)) {
-                if (lines.get(earlier).match().covers(line.match())) {
-                    warnings.add("rule \"" + line.rule().name() + "\" never matches: \"" + lines.get(earlier).rule().name()
-                        + "\" before it matches whatever it does");
+            for (int earlier : earlierRulesToCompare(i)) {
+                if (compiledRules.get(earlier).match().covers(compiled.match())) {
+                    warnings.add("rule \"" + compiled.rule().name() + "\" never matches: \""
+                        + compiledRules.get(earlier).rule().name() + "\" before it matches whatever it does");
                     break;
                 }
             }
-            isDefault |= line.match().isAlwaysTrue();
+            hasCatchAll |= compiled.match().isAlwaysTrue();
         }
-        if (!isDefault) {
-            warnings.add("no rule matches every request: what none matches is refused as of no class");
+        if (!hasCatchAll) {
+            warnings.add("no rule matches every request: requests without a matching rule are refused");
         }
     }
 
-    /** Earlier rules to compare with: few rules against all, of many the nearest, which keeps loading short. */
-    private static List<Integer> candidates(int rule) {
-        List<Integer> all = new ArrayList<>();
+    /** The up to 500 rules directly before a rule. The bound keeps the time to load a large table linear in its size. */
+    private static List<Integer> earlierRulesToCompare(int rule) {
+        List<Integer> earlierRules = new ArrayList<>();
         for (int earlier = Math.max(0, rule - 500); earlier < rule; earlier++) {
-            all.add(earlier);
+            earlierRules.add(earlier);
         }
-        return all;
+        return earlierRules;
     }
 
-    /** What is likely not meant, though the table is valid. */
+    /** Likely mistakes in a valid table. */
     public List<String> warnings() {
         return List.copyOf(warnings);
     }
@@ -162,102 +165,102 @@
     }
 
     public int size() {
-        return lines.size();
+        return compiledRules.size();
     }
 
-    public Rule rule(int number) {
-        return lines.get(number).rule();
+    public Rule rule(int ruleIndex) {
+        return compiledRules.get(ruleIndex).rule();
     }
 
-    /** What a rule's condition takes at most. */
-    public Cost cost(int number) {
-        return lines.get(number).match().cost();
+    /** The upper bound on the cost of evaluating a rule's condition. */
+    public Cost cost(int ruleIndex) {
+        return compiledRules.get(ruleIndex).match().cost();
     }
 
-    /** How the index finds a rule: equality, prefix, range, or scan for those that are tried for each request. */
-    public String way(int number) {
-        return index.way(number).name().toLowerCase(java.util.Locale.ROOT);
+    /** How the index finds a rule: equality, prefix or range, or scan for a rule that is tried for every request. */
+    public String lookup(int ruleIndex) {
+        return index.lookup(ruleIndex).name().toLowerCase(java.util.Locale.ROOT);
     }
 
-    /** The first rule that matches, and what it says. */
-    public void decide(Frame frame, Decision into) {
-        into.clear();
-        asked = frame;
-        int rule = index.first(frame, scratch, visitor);
-        asked = null;
+    /** Finds the first matching rule and writes its results to {@code decision}. */
+    public void decide(Frame frame, Decision decision) {
+        decision.clear();
+        currentFrame = frame;
+        int rule = index.firstAccepted(frame, scratch, matchesCurrentFrame);
+        currentFrame = null;
         if (rule < 0) {
-            unmatched++;
+            unmatchedCount++;
             return;
         }
-        matches[rule]++;
-        say(rule, frame, into);
+        matchCounts[rule]++;
+        fillDecision(rule, frame, decision);
     }
 
-    /** The first rule that matches by trying each: what the index is tested against. */
-    int scan(Frame frame) {
-        for (int rule = 0; rule < lines.size(); rule++) {
-            if (lines.get(rule).match().matches(frame)) {
+    /** Finds the first matching rule without the index; tests compare the index with it. */
+    int firstMatchByScan(Frame frame) {
+        for (int rule = 0; rule < compiledRules.size(); rule++) {
+            if (compiledRules.get(rule).match().matches(frame)) {
                 return rule;
             }
         }
         return -1;
     }
 
-    private boolean holds(int rule) {
-        Frame frame = asked;
-        Program match = lines.get(rule).match();
-        boolean holds = match.matches(frame);
-        if (!holds && match.error(frame) != null) {
-            errors[rule][match.error(frame).ordinal()]++;
+    private boolean conditionHolds(int rule) {
+        Frame frame = currentFrame;
+        Program match = compiledRules.get(rule).match();
+        boolean conditionHolds = match.matches(frame);
+        if (!conditionHolds && match.error(frame) != null) {
+            errorCounts[rule][match.error(frame).ordinal()]++;
         }
-        return holds;
+        return conditionHolds;
     }
 
-    private void say(int number, Frame frame, Decision into) {
-        Line line = lines.get(number);
-        into.rule = number;
-        into.name = line.rule().name();
-        into.requestClass = line.rule().requestClass();
-        if (!line.outputs().isEmpty()) {
-            compute(number, line, frame, into);
+    private void fillDecision(int ruleIndex, Frame frame, Decision decision) {
+        CompiledRule compiled = compiledRules.get(ruleIndex);
+        decision.ruleIndex = ruleIndex;
+        decision.ruleName = compiled.rule().name();
+        decision.requestClass = compiled.rule().requestClass();
+        if (!compiled.outputs().isEmpty()) {
+            computeOutputs(ruleIndex, compiled, frame, decision);
         }
-        if (line.rule().limit() != null) {
-            Object key = line.limitKey() == null ? "" : line.limitKey().evaluate(frame);
-            // whoever makes the key an error shares one key with all who do
-            into.limitKey = key instanceof ErrorKind ? "" : (String) key;
+        if (compiled.rule().limit() != null) {
+            Object key = compiled.limitKey() == null ? "" : compiled.limitKey().evaluate(frame);
+            // requests whose key expression fails share one key
+            decision.limitKey = key instanceof ErrorKind ? "" : (String) key;
         }
     }
 
-    private void compute(int number, Line line, Frame frame, Decision into) {
-        for (Map.Entry<Output, Program> one : line.outputs().entrySet()) {
-            Object value = one.getValue().evaluate(frame);
+    private void computeOutputs(int ruleIndex, CompiledRule compiled, Frame frame, Decision decision) {
+        for (Map.Entry<Output, Program> entry : compiled.outputs().entrySet()) {
+            Object value = entry.getValue().evaluate(frame);
             if (value instanceof ErrorKind error) {
-                errors[number][error.ordinal()]++;
+                errorCounts[ruleIndex][error.ordinal()]++;
                 continue;
             }
-            switch (one.getKey()) {
-                case TENANT -> into.tenant = (String) value;
-                case GROUP -> into.group = (Long) value;
-                case SESSION -> into.session = (String) value;
-                case WAIT -> into.wait = Math.max(0, (Long) value);
-                case RETRY -> into.retry = (Boolean) value;
-                default -> throw new IllegalStateException("no output " + one.getKey());
+            switch (entry.getKey()) {
+                case TENANT -> decision.tenant = (String) value;
+                case GROUP -> decision.group = (Long) value;
+                case SESSION -> decision.session = (String) value;
+                case WAIT -> decision.maxWaitNs = Math.max(0, (Long) value);
+                case RETRY -> decision.retry = (Boolean) value;
+                default -> throw new IllegalStateException("no output " + entry.getKey());
             }
         }
     }
 
-    /** How often a rule matched. */
-    public long matches(int rule) {
-        return matches[rule];
+    /** The number of requests that a rule matched. */
+    public long matchCount(int rule) {
+        return matchCounts[rule];
     }
 
-    /** How often a rule's condition or output was an error of a kind. */
-    public long errors(int rule, ErrorKind kind) {
-        return errors[rule][kind.ordinal()];
+    /** How often a rule's condition or one of its outputs evaluated to an error of this kind. */
+    public long errorCount(int rule, ErrorKind kind) {
+        return errorCounts[rule][kind.ordinal()];
     }
 
-    /** Requests that no rule matched. */
-    public long unmatched() {
-        return unmatched;
+    /** The number of requests that no rule matched. */
+    public long unmatchedCount() {
+        return unmatchedCount;
     }
 }
