--- a/bench/src/main/java/ledgewall/bench/ExpressionBenchmark.java
+++ b/bench/src/main/java/ledgewall/bench/ExpressionBenchmark.java
@@ -21,7 +21,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** One condition: compiled, by the tree interpreter, and as a Java programmer would write it. */
+/** Evaluates the same condition as compiled code, with the tree interpreter, and as handwritten Java. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -31,11 +31,11 @@
 public class ExpressionBenchmark {
     private static final String CONDITION = "sql.keyword in ['INSERT', 'UPDATE', 'DELETE'] && user.startsWith('kiosk-')"
         + " && headers['x-lot'] == 'A' && !path.endsWith('.css')";
-    private static final Set<String> WRITES = Set.of("INSERT", "UPDATE", "DELETE");
+    private static final Set<String> WRITE_KEYWORDS = Set.of("INSERT", "UPDATE", "DELETE");
 
     private Program program;
     private Frame frame;
-    private String keyword;
+    private String sqlKeyword;
     private String user;
     private String path;
     private Map<String, String> headers;
@@ -44,12 +44,12 @@
     public void setUp() throws ExpressionException {
         Schema schema = Schema.ofRequests();
         program = new Expressions(schema, Limits.USUAL).compile(CONDITION);
-        keyword = "UPDATE";
+        sqlKeyword = "UPDATE";
         user = "kiosk-4711";
         path = "/v1/lots/songshan/bays";
         headers = Map.of("x-lot", "A", "accept", "text/plain", "host", "lots");
         frame = new Frame(schema);
-        frame.set(schema.attribute("sql.keyword"), keyword);
+        frame.set(schema.attribute("sql.keyword"), sqlKeyword);
         frame.set(schema.attribute("user"), user);
         frame.set(schema.attribute("path"), path);
         frame.set(schema.attribute("headers"), headers);
@@ -68,7 +68,7 @@
 
     @Benchmark
     public boolean java() {
-        return WRITES.contains(keyword) && user.startsWith("kiosk-") && "A".equals(headers.get("x-lot"))
+        return WRITE_KEYWORDS.contains(sqlKeyword) && user.startsWith("kiosk-") && "A".equals(headers.get("x-lot"))
             && !path.endsWith(".css");
     }
 }
--- a/bench/src/main/java/ledgewall/bench/RuleTableBenchmark.java
+++ b/bench/src/main/java/ledgewall/bench/RuleTableBenchmark.java
@@ -24,7 +24,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** A table of indexable rules: what a request costs as the table grows. */
+/** Measures the time to find the matching rule for a request as the number of indexable rules grows. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -32,34 +32,34 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(3)
 public class RuleTableBenchmark {
-    private static final int REQUESTS = 256;
+    private static final int FRAMES = 256;
 
     @Param({"10", "100", "1000", "10000"})
     private int rules;
 
     private RuleTable table;
-    private final Frame[] frames = new Frame[REQUESTS];
+    private final Frame[] frames = new Frame[FRAMES];
     private final Decision decision = new Decision();
-    private int next;
+    private int nextFrame;
 
     @Setup
     public void setUp() throws RuleException {
         Schema schema = Schema.ofRequests();
-        List<Rule> all = new ArrayList<>();
+        List<Rule> ruleList = new ArrayList<>();
         for (int i = 0; i < rules; i++) {
             String match = switch (i % 3) {
                 case 0 -> "user == 'u" + i + "' && sql.keyword == 'SELECT'";
                 case 1 -> "user in ['u" + i + "', 'v" + i + "'] && size(sql.tables) > 0";
                 default -> "path.startsWith('/v1/lots/" + i + "/') && user.startsWith('u')";
             };
-            all.add(new Rule("r" + i, match, "c", Map.of(), null, null));
+            ruleList.add(new Rule("r" + i, match, "c", Map.of(), null, null));
         }
-        table = RuleTable.of(schema, Limits.USUAL, Map.of(), all, Set.of("c"));
-        for (int i = 0; i < REQUESTS; i++) {
-            int number = (int) (i * 2_654_435_761L % rules);
+        table = RuleTable.of(schema, Limits.USUAL, Map.of(), ruleList, Set.of("c"));
+        for (int i = 0; i < FRAMES; i++) {
+            int ruleNumber = (int) (i * 2_654_435_761L % rules);
             Frame frame = new Frame(schema);
-            frame.set(schema.attribute("user"), "u" + number);
-            frame.set(schema.attribute("path"), "/v1/lots/" + number + "/bays");
+            frame.set(schema.attribute("user"), "u" + ruleNumber);
+            frame.set(schema.attribute("path"), "/v1/lots/" + ruleNumber + "/bays");
             frame.set(schema.attribute("sql.keyword"), "SELECT");
             frame.set(schema.attribute("sql.tables"), List.of("bays"));
             frames[i] = frame;
@@ -68,7 +68,7 @@
 
     @Benchmark
     public boolean decide() {
-        table.decide(frames[next++ % REQUESTS], decision);
+        table.decide(frames[nextFrame++ % FRAMES], decision);
         return decision.matched();
     }
 }
--- a/cli/src/main/java/ledgewall/cli/AttributeJson.java
+++ b/cli/src/main/java/ledgewall/cli/AttributeJson.java
@@ -14,44 +14,52 @@
 import ledgewall.expression.Schema;
 import ledgewall.expression.Type;
 
-/** A request as one JSON object: attributes by their names, times and durations as the language writes them. */
+/**
+ * Reads the attributes of a request from a JSON object. Timestamps and durations are strings in the format of the
+ * expression language.
+ */
 final class AttributeJson {
     private AttributeJson() {
     }
 
-    static void set(Schema schema, Frame frame, String where, String json) throws SettingsException {
+    /**
+     * Sets the attributes of a frame.
+     *
+     * @param location where the JSON comes from, for error messages
+     */
+    static void setAttributes(Schema schema, Frame frame, String location, String json) throws SettingsException {
         try (JsonParser parser = new JsonFactory().createParser(json)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new SettingsException(where + ": no JSON object");
+                throw new SettingsException(location + ": not a JSON object");
             }
             while (parser.nextToken() == JsonToken.FIELD_NAME) {
                 String name = parser.currentName();
                 Schema.Attribute attribute = schema.attribute(name);
                 if (attribute == null) {
-                    throw new SettingsException(where + ": no attribute '" + name + "'; there are "
+                    throw new SettingsException(location + ": no attribute '" + name + "'; there are "
                         + String.join(", ", schema.names()));
                 }
                 parser.nextToken();
-                frame.set(attribute, value(where + ": " + name, attribute.type(), parser));
+                frame.set(attribute, parseValue(location + ": " + name, attribute.type(), parser));
             }
             if (parser.nextToken() != null) {
-                throw new SettingsException(where + ": more than one value");
+                throw new SettingsException(location + ": unexpected content after the JSON object");
             }
         } catch (IOException e) {
-            throw new SettingsException(where + ": no JSON: " + e.getMessage().split("\n")[0]);
+            throw new SettingsException(location + ": invalid JSON: " + e.getMessage().split("\n")[0]);
         }
     }
 
-    private static Object value(String name, Type type, JsonParser parser) throws IOException, SettingsException {
+    private static Object parseValue(String name, Type type, JsonParser parser) throws IOException, SettingsException {
         JsonToken token = parser.currentToken();
         switch (type.kind()) {
-            case BOOL -> expect(token.isBoolean(), name, type);
-            case INT -> expect(token == JsonToken.VALUE_NUMBER_INT, name, type);
-            case DOUBLE -> expect(token.isNumeric(), name, type);
-            case LIST -> expect(token == JsonToken.START_ARRAY, name, type);
-            case MAP -> expect(token == JsonToken.START_OBJECT, name, type);
+            case BOOL -> require(token.isBoolean(), name, type);
+            case INT -> require(token == JsonToken.VALUE_NUMBER_INT, name, type);
+            case DOUBLE -> require(token.isNumeric(), name, type);
+            case LIST -> require(token == JsonToken.START_ARRAY, name, type);
+            case MAP -> require(token == JsonToken.START_OBJECT, name, type);
             case OPTIONAL -> { }
-            default -> expect(token == JsonToken.VALUE_STRING, name, type);
+            default -> require(token == JsonToken.VALUE_STRING, name, type);
         }
         return switch (type.kind()) {
             case BOOL -> parser.getBooleanValue();
@@ -61,27 +69,27 @@
             case BYTES -> Bytes.of(parser.getBinaryValue());
             case DURATION, TIMESTAMP -> AttributeText.read(name, type, parser.getText());
             case LIST -> {
-                List<Object> list = new ArrayList<>();
+                List<Object> elements = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(name, type.of(), parser));
+                    elements.add(parseValue(name, type.of(), parser));
                 }
-                yield list;
+                yield elements;
             }
             case MAP -> {
-                Map<String, Object> map = new LinkedHashMap<>();
+                Map<String, Object> entries = new LinkedHashMap<>();
                 while (parser.nextToken() == JsonToken.FIELD_NAME) {
                     String key = parser.currentName();
                     parser.nextToken();
-                    map.put(key, value(name + "." + key, type.of(), parser));
+                    entries.put(key, parseValue(name + "." + key, type.of(), parser));
                 }
-                yield map;
+                yield entries;
             }
-            case OPTIONAL -> token == JsonToken.VALUE_NULL ? Optional.empty() : Optional.of(value(name, type.of(), parser));
+            case OPTIONAL -> token == JsonToken.VALUE_NULL ? Optional.empty() : Optional.of(parseValue(name, type.of(), parser));
         };
     }
 
-    private static void expect(boolean holds, String name, Type type) throws SettingsException {
-        if (!holds) {
+    private static void require(boolean condition, String name, Type type) throws SettingsException {
+        if (!condition) {
             throw new SettingsException(name + " is to be " + type);
         }
     }
--- a/cli/src/main/java/ledgewall/cli/AttributeText.java
+++ b/cli/src/main/java/ledgewall/cli/AttributeText.java
@@ -14,48 +14,48 @@
 import ledgewall.expression.Schema;
 import ledgewall.expression.Type;
 
-/** Attributes as people write them: lists a,b,c and maps k=v,k=v. */
+/** Parses attribute values from text, such as command line arguments. Lists are written a,b,c and maps k=v,k=v. */
 final class AttributeText {
     private AttributeText() {
     }
 
-    static void set(Schema schema, Frame frame, String name, String text) throws SettingsException {
+    static void setAttribute(Schema schema, Frame frame, String name, String text) throws SettingsException {
         Schema.Attribute attribute = schema.attribute(name);
         if (attribute == null) {
             throw new SettingsException("no attribute '" + name + "'; there are " + String.join(", ", schema.names()));
         }
-        frame.set(attribute, value(name, attribute.type(), text));
+        frame.set(attribute, parseValue(name, attribute.type(), text));
     }
 
-    private static Object value(String name, Type type, String text) throws SettingsException {
+    private static Object parseValue(String name, Type type, String text) throws SettingsException {
         return switch (type.kind()) {
             case STRING -> text;
             case BYTES -> Bytes.of(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
             case LIST -> {
-                List<Object> list = new ArrayList<>();
-                for (String part : text.isEmpty() ? new String[0] : text.split(",", -1)) {
-                    list.add(value(name, type.of(), part));
+                List<Object> elements = new ArrayList<>();
+                for (String item : text.isEmpty() ? new String[0] : text.split(",", -1)) {
+                    elements.add(parseValue(name, type.of(), item));
                 }
-                yield list;
+                yield elements;
             }
             case MAP -> {
-                Map<String, Object> map = new LinkedHashMap<>();
-                for (String part : text.isEmpty() ? new String[0] : text.split(",", -1)) {
-                    int equals = part.indexOf('=');
-                    if (equals < 0) {
+                Map<String, Object> entries = new LinkedHashMap<>();
+                for (String item : text.isEmpty() ? new String[0] : text.split(",", -1)) {
+                    int separator = item.indexOf('=');
+                    if (separator < 0) {
                         throw new SettingsException("'" + name + "' is to be k=v,k=v");
                     }
-                    map.put(part.substring(0, equals), value(name, type.of(), part.substring(equals + 1)));
+                    entries.put(item.substring(0, separator), parseValue(name, type.of(), item.substring(separator + 1)));
                 }
-                yield map;
+                yield entries;
             }
-            case OPTIONAL -> text.isEmpty() ? Optional.empty() : Optional.of(value(name, type.of(), text));
-            default -> read(name, type, text);
+            case OPTIONAL -> text.isEmpty() ? Optional.empty() : Optional.of(parseValue(name, type.of(), text));
+            default -> parseConstant(name, type, text);
         };
     }
 
-    /** Read as the language reads such constants. */
-    static Object read(String name, Type type, String text) throws SettingsException {
+    /** Parses a constant by evaluating the expression language's conversion function for its type. */
+    static Object parseConstant(String name, Type type, String text) throws SettingsException {
         String quoted = "'" + text.replace("\\", "\\\\").replace("'", "\\'") + "'";
         String source = switch (type.kind()) {
             case BOOL -> quoted + " == 'true'";
@@ -65,13 +65,13 @@
             default -> "timestamp(" + quoted + ")";
         };
         try {
-            Schema none = new Schema();
-            Object value = new Expressions(none, Limits.USUAL).compile(source).evaluate(new Frame(none));
+            Schema emptySchema = new Schema();
+            Object value = new Expressions(emptySchema, Limits.USUAL).compile(source).evaluate(new Frame(emptySchema));
             if (!(value instanceof ErrorKind)) {
                 return value;
             }
         } catch (ExpressionException e) {
-            // told below: what cannot be read is no constant
+            // the text can't be parsed as this type; reported below
         }
         throw new SettingsException("'" + name + "' is to be " + type + ", this is '" + text + "'");
     }
--- a/cli/src/main/java/ledgewall/cli/ExpressionCommand.java
+++ b/cli/src/main/java/ledgewall/cli/ExpressionCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Tries single expressions. */
+/** The {@code expression} command: checks, evaluates and explains single expressions. */
 @Command(name = "expression", mixinStandardHelpOptions = true, description = "Check, evaluate and explain single expressions.",
     subcommands = {ExpressionCommand.Check.class, ExpressionCommand.Eval.class, ExpressionCommand.Explain.class,
         ExpressionCommand.Functions.class})
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Says whether it is accepted. */
+    /** Checks an expression and prints its type. */
     @Command(name = "check", mixinStandardHelpOptions = true,
         description = "Say whether an expression is accepted, and its type.",
         footer = {"", "Example:", "  ledgewall expression check \"sql.keyword == 'SELECT' && 'bays' in sql.tables\""})
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Evaluates it. */
+    /** Evaluates an expression for a request that is given by its attributes. */
     @Command(name = "eval", mixinStandardHelpOptions = true, description = "Evaluate an expression for a request.",
         footer = {"", "Lists are written a,b,c and maps k=v,k=v; times as RFC 3339 has them.", "Example:",
             "  ledgewall expression eval \"sql.keyword in ['INSERT'] && user.startsWith('k')\" sql.keyword=INSERT user=kiosk-7"})
@@ -73,7 +73,7 @@
         private String source;
 
         @Option(names = "--request", paramLabel = "FILE", description = "The request as a JSON object of attributes.")
-        private Path request;
+        private Path requestFile;
 
         @Parameters(index = "1..*", arity = "0..*", paramLabel = "NAME=VALUE", description = "Attributes of the request.")
         private List<String> attributes = List.of();
@@ -83,27 +83,27 @@
             Schema schema = Schema.ofRequests();
             Program program = compile(schema, source);
             Frame frame = new Frame(schema);
-            if (request != null) {
-                AttributeJson.set(schema, frame, request.getFileName().toString(), RulesFile.text(request));
+            if (requestFile != null) {
+                AttributeJson.setAttributes(schema, frame, requestFile.getFileName().toString(), RulesFile.readText(requestFile));
             }
-            for (String one : attributes) {
-                int equals = one.indexOf('=');
-                if (equals < 0) {
-                    throw new SettingsException("no NAME=VALUE: " + one);
+            for (String attribute : attributes) {
+                int separator = attribute.indexOf('=');
+                if (separator < 0) {
+                    throw new SettingsException("expected NAME=VALUE, got: " + attribute);
                 }
-                AttributeText.set(schema, frame, one.substring(0, equals), one.substring(equals + 1));
+                AttributeText.setAttribute(schema, frame, attribute.substring(0, separator), attribute.substring(separator + 1));
             }
             Object value = program.evaluate(frame);
             if (value instanceof ErrorKind error) {
                 spec.commandLine().getOut().println("error: " + error.name().toLowerCase(Locale.ROOT));
-                return Ledgewall.WRONG;
+                return Ledgewall.EXIT_FAILURE;
             }
             spec.commandLine().getOut().println(value);
             return 0;
         }
     }
 
-    /** Shows what it takes. */
+    /** Prints an expression's type, cost bound, plan and index requirements. */
     @Command(name = "explain", mixinStandardHelpOptions = true,
         description = "Show an expression's type, its cost bound, its plan and what an index can find it by.")
     static final class Explain implements Callable<Integer> {
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Lists what there is. */
+    /** Lists the attributes, functions and operators of the expression language. */
     @Command(name = "functions", mixinStandardHelpOptions = true, description = "List attributes, functions and operators.")
     static final class Functions implements Callable<Integer> {
         @Spec
@@ -143,11 +143,11 @@
         }
     }
 
-    /** What a map of names and values says, as a frame. */
-    static Frame frame(Schema schema, Map<String, String> attributes) throws SettingsException {
+    /** Creates a frame from the names and textual values of attributes. */
+    static Frame toFrame(Schema schema, Map<String, String> attributes) throws SettingsException {
         Frame frame = new Frame(schema);
-        for (Map.Entry<String, String> one : attributes.entrySet()) {
-            AttributeText.set(schema, frame, one.getKey(), one.getValue());
+        for (Map.Entry<String, String> attribute : attributes.entrySet()) {
+            AttributeText.setAttribute(schema, frame, attribute.getKey(), attribute.getValue());
         }
         return frame;
     }
--- a/cli/src/main/java/ledgewall/cli/Ledgewall.java
+++ b/cli/src/main/java/ledgewall/cli/Ledgewall.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The full command line. */
+/** The main class of the full command line. */
 @Command(name = "ledgewall", mixinStandardHelpOptions = true, version = "ledgewall 0.1.0",
     description = "A gateway that spreads reads over replicas and sends writes to the primary.",
     subcommands = {Ledgewall.Serve.class, Ledgewall.Simhost.class, Ledgewall.Check.class, ExpressionCommand.class,
@@ -28,7 +28,7 @@
     exitCodeListHeading = "%nExit codes:%n",
     exitCodeList = {"0:done, or all is well", "1:it failed, or something is wrong with what was checked", "2:wrong usage"})
 public final class Ledgewall implements Callable<Integer> {
-    static final int WRONG = 1;
+    static final int EXIT_FAILURE = 1;
     private static final Logger LOG = LoggerFactory.getLogger(Ledgewall.class);
 
     @Spec
@@ -44,18 +44,18 @@
         }
     }
 
-    /** The command line, for whoever embeds or tests it. What is wrong with settings is told in one line. */
+    /** Creates the command line. Errors in settings and files are printed as one line, without a stack trace. */
     static CommandLine commandLine() {
-        CommandLine line = new CommandLine(new Ledgewall());
-        line.setExecutionExceptionHandler((e, command, result) -> {
+        CommandLine commandLine = new CommandLine(new Ledgewall());
+        commandLine.setExecutionExceptionHandler((e, command, result) -> {
             String reason = e instanceof IOException io ? Service.reason(io) : e.getMessage();
             if (!(e instanceof IOException || e instanceof SettingsException || e instanceof FormatException)) {
                 throw e;
             }
             command.getErr().println("ledgewall: " + reason);
-            return WRONG;
+            return EXIT_FAILURE;
         });
-        return line;
+        return commandLine;
     }
 
     @Override
@@ -80,17 +80,17 @@
         @Override
         public Integer call() throws IOException, InterruptedException {
             if (config == null) {
-                throw new FormatException("no CONFIG, and the environment names no ROUTER_CONFIG");
+                throw new FormatException("no CONFIG given, and ROUTER_CONFIG is not set");
             }
-            new Service(config, rules, rules == null ? null : (settings, before) -> {
+            new Service(config, rules, rules == null ? null : (settings, previous) -> {
                 try {
-                    RulesFile file = RulesFile.read(rules, RulesCommand.classes(settings));
+                    RulesFile file = RulesFile.read(rules, RulesCommand.classNames(settings));
                     file.table().warnings().forEach(warning -> LOG.atWarn().addKeyValue("file", rules).log(warning));
                     LOG.atInfo().addKeyValue("file", rules).addKeyValue("rules", file.table().size()).log("rules are read");
-                    if (before instanceof RuleClassifier old) {
-                        LOG.atInfo().addKeyValue("matches", old.counts()).log("the rules before are over");
+                    if (previous instanceof RuleClassifier previousClassifier) {
+                        LOG.atInfo().addKeyValue("matches", previousClassifier.matchCounts()).log("the rules before are over");
                     }
-                    return new RuleClassifier(file, settings, (RuleClassifier) before);
+                    return new RuleClassifier(file, settings, (RuleClassifier) previous);
                 } catch (SettingsException e) {
                     throw new FormatException(e.getMessage());
                 }
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Decides for a simulator. */
+    /** Serves routing decisions to a simulator on standard input and output. */
     @Command(name = "simhost", mixinStandardHelpOptions = true,
         description = "Decide for a simulator's instances, on standard input and output.")
     static final class Simhost implements Callable<Integer> {
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Checks files. */
+    /** Checks configuration and rules files. */
     @Command(name = "check", mixinStandardHelpOptions = true,
         description = "Check settings: a router's configuration (.json) and, against the one before them, rules (.hcl).",
         footer = {"", "Example:", "  ledgewall check router.json deploy/rules.hcl"})
@@ -125,7 +125,7 @@
         public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
             RouterConfig settings = null;
-            int wrong = 0;
+            int exitCode = 0;
             for (Path file : files) {
                 try {
                     if (file.toString().endsWith(".json")) {
@@ -133,19 +133,19 @@
                         out.println(file + ": ok, " + settings.vocabulary().classes().size() + " classes, "
                             + settings.known().members().size() + " members known");
                     } else {
-                        RulesFile rules = RulesFile.read(file, RulesCommand.classes(settings));
+                        RulesFile rules = RulesFile.read(file, RulesCommand.classNames(settings));
                         rules.table().warnings().forEach(warning -> out.println(file + ": warning: " + warning));
                         out.println(file + ": ok, " + rules.table().size() + " rules");
                     }
                 } catch (SettingsException | FormatException e) {
                     out.println(e.getMessage());
-                    wrong = WRONG;
+                    exitCode = EXIT_FAILURE;
                 } catch (IOException e) {
                     out.println(Service.reason(e));
-                    wrong = WRONG;
+                    exitCode = EXIT_FAILURE;
                 }
             }
-            return wrong;
+            return exitCode;
         }
     }
 }
--- a/cli/src/main/java/ledgewall/cli/RuleClassifier.java
+++ b/cli/src/main/java/ledgewall/cli/RuleClassifier.java
@@ -10,41 +10,51 @@
 import ledgewall.rules.Limiter;
 import ledgewall.rules.Rule;
 
-/** Asks the rule table, then the limits of the rule that it names. One for each table that is taken over. */
+/**
+ * Classifies requests by a rule table and applies the limit of the rule that matches. Each loaded rules file has its own
+ * instance.
+ */
 final class RuleClassifier implements Classifier {
-    private static final long MILLISECOND = 1_000_000L;
+    private static final long NANOS_PER_MILLISECOND = 1_000_000L;
 
     private final RulesFile rules;
-    private final String name;
-    private final Attributes attributes;
+    private final String listenerName;
+    private final RequestAttributes requestAttributes;
     private final Decision decision = new Decision();
-    /** The longest wait of each class, in ms, where a rule says none. */
-    private final Map<String, Long> deadlines = new HashMap<>();
-    /** By the rule's name; a rule that a reload leaves as it is keeps its own, with all that is in hand. */
-    private final Map<String, Limiter> limiters = new HashMap<>();
+    /** The maximum wait in ms for each class, used if a rule sets none. */
+    private final Map<String, Long> defaultWaitMsByClass = new HashMap<>();
+    /** Limiters by rule name. A rule whose limit a reload doesn't change keeps its limiter and the requests counted in it. */
+    private final Map<String, Limiter> limitersByRule = new HashMap<>();
 
-    RuleClassifier(RulesFile rules, RouterConfig config, RuleClassifier before) {
+    /**
+     * Creates a classifier.
+     *
+     * @param previous the classifier that this one replaces, or null
+     */
+    RuleClassifier(RulesFile rules, RouterConfig config, RuleClassifier previous) {
         this.rules = rules;
-        this.name = config.name();
-        this.attributes = new Attributes(rules.table().schema());
+        this.listenerName = config.name();
+        this.requestAttributes = new RequestAttributes(rules.table().schema());
         for (int i = 0; i < config.vocabulary().classes().size(); i++) {
-            RequestClass kind = config.settings().classes().get(i);
-            deadlines.put(config.vocabulary().classes().get(i), Math.max(1, kind.deadline() / MILLISECOND));
+            RequestClass requestClass = config.settings().classes().get(i);
+            defaultWaitMsByClass.put(config.vocabulary().classes().get(i),
+                Math.max(1, requestClass.deadline() / NANOS_PER_MILLISECOND));
         }
         for (int i = 0; i < rules.table().size(); i++) {
             Rule rule = rules.table().rule(i);
             if (rule.limit() != null) {
-                limiters.put(rule.name(), before != null && before.keeps(rule) ? before.limiters.get(rule.name())
-                    : new Limiter(rule.limit()));
+                limitersByRule.put(rule.name(), previous != null && previous.hasSameLimit(rule)
+                    ? previous.limitersByRule.get(rule.name()) : new Limiter(rule.limit()));
             }
         }
     }
 
-    private boolean keeps(Rule rule) {
+    /** Whether this classifier has a rule of the same name with an equal limit. */
+    private boolean hasSameLimit(Rule rule) {
         for (int i = 0; i < rules.table().size(); i++) {
-            Rule own = rules.table().rule(i);
-            if (own.name().equals(rule.name())) {
-                return rule.limit().equals(own.limit());
+            Rule ownRule = rules.table().rule(i);
+            if (ownRule.name().equals(rule.name())) {
+                return rule.limit().equals(ownRule.limit());
             }
         }
         return false;
@@ -57,29 +67,30 @@
 
     @Override
     public Answer classify(Request request) {
-        rules.table().decide(attributes.of(request, name), decision);
+        rules.table().decide(requestAttributes.fill(request, listenerName), decision);
         if (!decision.matched()) {
             return new Unknown("no rule says what this statement is");
         }
-        long wait = decision.longestWait() < 0 ? deadlines.get(decision.requestClass())
-            : Math.max(1, decision.longestWait() / MILLISECOND);
-        Classified as = new Classified(decision.requestClass(), decision.tenant() == null ? "" : decision.tenant(),
-            Math.max(0, decision.group()), decision.session(), wait, decision.retry());
-        String key = decision.limitKey();
-        if (key == null) {
-            return new Known(as, null);
+        long waitMs = decision.maxWaitNs() < 0 ? defaultWaitMsByClass.get(decision.requestClass())
+            : Math.max(1, decision.maxWaitNs() / NANOS_PER_MILLISECOND);
+        Classified classified = new Classified(decision.requestClass(), decision.tenant() == null ? "" : decision.tenant(),
+            Math.max(0, decision.group()), decision.session(), waitMs, decision.retry());
+        String limitKey = decision.limitKey();
+        if (limitKey == null) {
+            return new Known(classified, null);
         }
-        Limiter limiter = limiters.get(decision.name());
-        return limiter.admit(key, request.now()) == Limiter.Verdict.ADMITTED ? new Known(as, () -> limiter.release(key))
-            : new Limited(Math.max(MILLISECOND, limiter.retryAfter(key, request.now())));
+        Limiter limiter = limitersByRule.get(decision.ruleName());
+        return limiter.admit(limitKey, request.now()) == Limiter.Admission.ADMITTED
+            ? new Known(classified, () -> limiter.release(limitKey))
+            : new Limited(Math.max(NANOS_PER_MILLISECOND, limiter.retryAfterNs(limitKey, request.now())));
     }
 
-    /** How often each rule matched, and what matched none: for a log line. */
-    String counts() {
+    /** The number of requests that each rule matched, and that none matched, as text for a log line. */
+    String matchCounts() {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < rules.table().size(); i++) {
-            text.append(rules.table().rule(i).name()).append('=').append(rules.table().matches(i)).append(' ');
+            text.append(rules.table().rule(i).name()).append('=').append(rules.table().matchCount(i)).append(' ');
         }
-        return text.append("none=").append(rules.table().unmatched()).toString();
+        return text.append("none=").append(rules.table().unmatchedCount()).toString();
     }
 }
--- a/cli/src/main/java/ledgewall/cli/RulesCommand.java
+++ b/cli/src/main/java/ledgewall/cli/RulesCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Works on files of rules. */
+/** The {@code rules} command: explains and tests rules files. */
 @Command(name = "rules", mixinStandardHelpOptions = true, description = "Explain and test files of rules.",
     subcommands = {RulesCommand.Explain.class, RulesCommand.Test.class})
 final class RulesCommand implements Callable<Integer> {
@@ -34,19 +34,19 @@
         return CommandLine.ExitCode.USAGE;
     }
 
-    /** The classes that a configuration names. */
-    static Set<String> classes(RouterConfig settings) throws SettingsException {
+    /** The names of the classes in a configuration. */
+    static Set<String> classNames(RouterConfig settings) throws SettingsException {
         if (settings == null) {
-            throw new SettingsException("rules are checked against the classes of a configuration: name one before them");
+            throw new SettingsException("rules are checked against the classes of a configuration: name one before the rules file");
         }
         return new TreeSet<>(settings.vocabulary().classes());
     }
 
-    private static RuleTable table(Path config, Path rules) throws IOException, SettingsException {
-        return RulesFile.read(rules, classes(RouterConfig.read(config))).table();
+    private static RuleTable loadTable(Path config, Path rules) throws IOException, SettingsException {
+        return RulesFile.read(rules, classNames(RouterConfig.read(config))).table();
     }
 
-    /** Shows how each rule is found. */
+    /** Prints each rule's class, cost bound and how the index finds it. */
     @Command(name = "explain", mixinStandardHelpOptions = true,
         description = "Show each rule's class, its cost bound and how the index finds it.")
     static final class Explain implements Callable<Integer> {
@@ -62,9 +62,9 @@
         @Override
         public Integer call() throws IOException, SettingsException {
             PrintWriter out = spec.commandLine().getOut();
-            RuleTable table = table(config, file);
+            RuleTable table = loadTable(config, file);
             for (int i = 0; i < table.size(); i++) {
-                out.printf("%-24s %-16s %-9s %s%n", table.rule(i).name(), table.rule(i).requestClass(), table.way(i),
+                out.printf("%-24s %-16s %-9s %s%n", table.rule(i).name(), table.rule(i).requestClass(), table.lookup(i),
                     table.cost(i));
             }
             table.warnings().forEach(warning -> out.println("warning: " + warning));
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Runs a table of cases. */
+    /** Compares the outcomes of the cases in a file with the expected outcomes. */
     @Command(name = "test", mixinStandardHelpOptions = true, description = "Try cases with the outcome that is expected of each.",
         footer = {"", "A case, in HCL:", "  case \"a kiosk books\" {", "    sql  = \"INSERT INTO bookings VALUES (1)\"",
             "    user = \"kiosk-7\"", "    expect {", "      class = \"book-bay\"", "      rule  = \"booking\"", "    }", "  }",
@@ -94,64 +94,67 @@
         @Override
         public Integer call() throws IOException, SettingsException {
             PrintWriter out = spec.commandLine().getOut();
-            RuleTable table = table(config, file);
-            Hcl read = Hcl.parse(cases.getFileName().toString(), RulesFile.text(cases));
-            read.allow(Set.of("case"));
+            RuleTable table = loadTable(config, file);
+            HclBlock casesFile = HclBlock.parse(cases.getFileName().toString(), RulesFile.readText(cases));
+            casesFile.allowOnly(Set.of("case"));
             int passed = 0;
             int failed = 0;
-            for (Map.Entry<String, Hcl> one : read.labelled("case").entrySet()) {
-                Map<String, String> wanted = one.getValue().block("expect").texts();
-                if (wanted.isEmpty()) {
-                    throw one.getValue().wrong("expects nothing");
+            for (Map.Entry<String, HclBlock> testCase : casesFile.labelledBlocks("case").entrySet()) {
+                Map<String, String> expectations = testCase.getValue().block("expect").strings();
+                if (expectations.isEmpty()) {
+                    throw testCase.getValue().error("its block 'expect' is empty");
                 }
-                Map<String, String> got = outcome(table, one.getValue());
-                Map<String, String> wrong = new TreeMap<>();
-                for (Map.Entry<String, String> expected : wanted.entrySet()) {
-                    if (!got.containsKey(expected.getKey())) {
-                        throw one.getValue().wrong("unknown expectation '" + expected.getKey() + "'; there are " + got.keySet());
+                Map<String, String> actual = actualOutcome(table, testCase.getValue());
+                Map<String, String> mismatches = new TreeMap<>();
+                for (Map.Entry<String, String> expectation : expectations.entrySet()) {
+                    if (!actual.containsKey(expectation.getKey())) {
+                        throw testCase.getValue().error("unknown expectation '" + expectation.getKey() + "'; there are "
+                            + actual.keySet());
                     }
-                    if (!expected.getValue().equals(got.get(expected.getKey()))) {
-                        wrong.put(expected.getKey(), "'" + got.get(expected.getKey()) + "', not '" + expected.getValue() + "'");
+                    if (!expectation.getValue().equals(actual.get(expectation.getKey()))) {
+                        mismatches.put(expectation.getKey(), "'" + actual.get(expectation.getKey()) + "', not '"
+                            + expectation.getValue() + "'");
                     }
                 }
-                failed += wrong.isEmpty() ? 0 : 1;
-                passed += wrong.isEmpty() ? 1 : 0;
-                wrong.forEach((what, how) -> out.println("case \"" + one.getKey() + "\": " + what + " is " + how));
+                failed += mismatches.isEmpty() ? 0 : 1;
+                passed += mismatches.isEmpty() ? 1 : 0;
+                mismatches.forEach((property, difference) -> out.println("case \"" + testCase.getKey() + "\": " + property
+                    + " is " + difference));
             }
             out.println(passed + " passed, " + failed + " failed");
-            return failed > 0 || passed == 0 ? Ledgewall.WRONG : 0;
+            return failed > 0 || passed == 0 ? Ledgewall.EXIT_FAILURE : 0;
         }
 
-        private static Map<String, String> outcome(RuleTable table, Hcl block) throws SettingsException {
-            // what the router knows of each request, if only that it is empty
+        private static Map<String, String> actualOutcome(RuleTable table, HclBlock block) throws SettingsException {
+            // attributes that the router sets for every request, here empty unless the case sets them
             Map<String, String> attributes = new LinkedHashMap<>(Map.of("user", "", "database", "", "comment", ""));
-            for (String name : block.names()) {
-                if (!name.equals("expect") && !name.equals("sql")) {
-                    attributes.put(name, block.text(name));
+            for (String setting : block.settingNames()) {
+                if (!setting.equals("expect") && !setting.equals("sql")) {
+                    attributes.put(setting, block.string(setting));
                 }
             }
-            Frame frame = ExpressionCommand.frame(table.schema(), attributes);
+            Frame frame = ExpressionCommand.toFrame(table.schema(), attributes);
             if (block.has("sql")) {
-                statement(table, frame, block);
+                setStatementAttributes(table, frame, block);
             }
             Decision decision = new Decision();
             table.decide(frame, decision);
-            Map<String, String> got = new LinkedHashMap<>();
-            got.put("rule", decision.matched() ? decision.name() : "none");
-            got.put("class", String.valueOf(decision.requestClass()));
-            got.put("tenant", String.valueOf(decision.tenant()));
-            got.put("group", Long.toString(decision.group()));
-            got.put("session", String.valueOf(decision.session()));
-            got.put("wait", decision.longestWait() < 0 ? "null" : decision.longestWait() / 1_000_000 + "ms");
-            got.put("retry", Boolean.toString(decision.retry()));
-            return got;
+            Map<String, String> actual = new LinkedHashMap<>();
+            actual.put("rule", decision.matched() ? decision.ruleName() : "none");
+            actual.put("class", String.valueOf(decision.requestClass()));
+            actual.put("tenant", String.valueOf(decision.tenant()));
+            actual.put("group", Long.toString(decision.group()));
+            actual.put("session", String.valueOf(decision.session()));
+            actual.put("wait", decision.maxWaitNs() < 0 ? "null" : decision.maxWaitNs() / 1_000_000 + "ms");
+            actual.put("retry", Boolean.toString(decision.retry()));
+            return actual;
         }
 
-        private static void statement(RuleTable table, Frame frame, Hcl block) throws SettingsException {
-            String sql = block.text("sql");
+        private static void setStatementAttributes(RuleTable table, Frame frame, HclBlock block) throws SettingsException {
+            String sql = block.string("sql");
             SqlSummary summary = SqlSummary.ofText(sql);
             if (summary == null) {
-                throw block.wrong("'sql' is no one statement");
+                throw block.error("'sql' must be a single statement");
             }
             frame.set(table.schema().attribute("sql.text"), sql);
             frame.set(table.schema().attribute("sql.keyword"), summary.keyword());
--- a/cli/src/main/java/ledgewall/cli/RulesFile.java
+++ b/cli/src/main/java/ledgewall/cli/RulesFile.java
@@ -13,93 +13,95 @@
 import java.util.Set;
 import ledgewall.expression.Limits;
 import ledgewall.expression.Schema;
-import ledgewall.rules.Limiter.Allowance;
+import ledgewall.rules.Limiter;
 import ledgewall.rules.Rule;
 import ledgewall.rules.Rule.Output;
 import ledgewall.rules.RuleException;
 import ledgewall.rules.RuleTable;
 
 /**
- * A file of rules in HCL, taken whole or not at all. The operators' page shows its form.
+ * A rules file in HCL. An error anywhere in it rejects the whole file.
  *
- * @param overridesComments whether rules go before a statement's own comment
+ * @param table the rules of the file
+ * @param overridesComments whether the rules take precedence over the comment in a statement
  */
 record RulesFile(RuleTable table, boolean overridesComments) {
-    private static final Set<String> TOP = Set.of("comments", "limits", "expressions", "rule");
-    private static final Set<String> RULE = Set.of("match", "class", "tenant", "group", "session", "wait", "retry", "limit");
-    private static final Set<String> LIMIT = Set.of("rate", "burst", "concurrent", "keys", "key");
-    private static final int USUAL_KEYS = 10_000;
+    private static final Set<String> TOP_LEVEL_SETTINGS = Set.of("comments", "limits", "expressions", "rule");
+    private static final Set<String> RULE_SETTINGS = Set.of("match", "class", "tenant", "group", "session", "wait", "retry",
+        "limit");
+    private static final Set<String> LIMIT_SETTINGS = Set.of("rate", "burst", "concurrent", "keys", "key");
+    private static final int DEFAULT_MAX_KEYS = 10_000;
 
     /**
      * Reads a file.
      *
-     * @param classes those that the router's settings name
+     * @param classes names of the classes in the router's settings
      */
     static RulesFile read(Path file, Set<String> classes) throws SettingsException {
-        return parse(file.getFileName().toString(), text(file), classes);
+        return parse(file.getFileName().toString(), readText(file), classes);
     }
 
-    static String text(Path file) throws SettingsException {
+    static String readText(Path file) throws SettingsException {
         try {
             return Files.readString(file);
         } catch (NoSuchFileException e) {
             throw new SettingsException(file + ": no such file");
         } catch (CharacterCodingException e) {
-            throw new SettingsException(file + ": no UTF-8");
+            throw new SettingsException(file + ": not valid UTF-8");
         } catch (IOException e) {
             throw new SettingsException(file + ": " + e.getMessage());
         }
     }
 
     static RulesFile parse(String name, String text, Set<String> classes) throws SettingsException {
-        Hcl file = Hcl.parse(name, text);
-        file.allow(TOP);
-        String comments = file.text("comments", "win");
+        HclBlock file = HclBlock.parse(name, text);
+        file.allowOnly(TOP_LEVEL_SETTINGS);
+        String comments = file.string("comments", "win");
         if (!comments.equals("win") && !comments.equals("lose")) {
-            throw file.wrong("'comments' is \"win\" or \"lose\", this is \"" + comments + "\"");
+            throw file.error("'comments' is \"win\" or \"lose\", this is \"" + comments + "\"");
         }
         List<Rule> rules = new ArrayList<>();
-        for (Map.Entry<String, Hcl> one : file.labelled("rule").entrySet()) {
-            rules.add(rule(one.getKey(), one.getValue()));
+        for (Map.Entry<String, HclBlock> entry : file.labelledBlocks("rule").entrySet()) {
+            rules.add(parseRule(entry.getKey(), entry.getValue()));
         }
         if (rules.isEmpty()) {
-            throw file.wrong("no rule: a table that says nothing would refuse every request");
+            throw file.error("no rule: a table without rules would refuse every request");
         }
-        Map<String, String> named = file.block("expressions").texts();
+        Map<String, String> namedExpressions = file.block("expressions").strings();
         try {
-            return new RulesFile(RuleTable.of(Schema.ofRequests(), limits(file.block("limits")), named, rules, classes),
-                comments.equals("lose"));
+            return new RulesFile(RuleTable.of(Schema.ofRequests(), parseLimits(file.block("limits")), namedExpressions, rules,
+                classes), comments.equals("lose"));
         } catch (RuleException e) {
             throw new SettingsException(name + ": " + e.show());
         }
     }
 
-    private static Limits limits(Hcl block) throws SettingsException {
-        block.allow(Set.of("steps", "bytes"));
-        Limits usual = Limits.USUAL;
-        return new Limits(usual.source(), usual.tokens(), usual.nesting(), usual.depth(),
-            (long) block.number("steps", usual.steps()), (long) block.number("bytes", usual.bytes()));
+    private static Limits parseLimits(HclBlock block) throws SettingsException {
+        block.allowOnly(Set.of("steps", "bytes"));
+        Limits defaults = Limits.USUAL;
+        return new Limits(defaults.source(), defaults.tokens(), defaults.nesting(), defaults.depth(),
+            (long) block.number("steps", defaults.steps()), (long) block.number("bytes", defaults.bytes()));
     }
 
-    private static Rule rule(String name, Hcl block) throws SettingsException {
-        block.allow(RULE);
+    private static Rule parseRule(String name, HclBlock block) throws SettingsException {
+        block.allowOnly(RULE_SETTINGS);
         Map<Output, String> outputs = new EnumMap<>(Output.class);
         for (Output output : Output.values()) {
             String setting = output.name().toLowerCase(Locale.ROOT);
             if (block.has(setting)) {
-                outputs.put(output, block.text(setting));
+                outputs.put(output, block.string(setting));
             }
         }
-        Allowance allowance = null;
-        String key = null;
+        Limiter.Config limitConfig = null;
+        String limitKey = null;
         if (block.has("limit")) {
-            Hcl limit = block.block("limit");
-            limit.allow(LIMIT);
-            double rate = limit.number("rate", 0);
-            allowance = new Allowance(rate, limit.number("burst", Math.max(1, rate)), limit.whole("concurrent", 0),
-                limit.whole("keys", USUAL_KEYS));
-            key = limit.text("key", null);
+            HclBlock limitBlock = block.block("limit");
+            limitBlock.allowOnly(LIMIT_SETTINGS);
+            double ratePerSecond = limitBlock.number("rate", 0);
+            limitConfig = new Limiter.Config(ratePerSecond, limitBlock.number("burst", Math.max(1, ratePerSecond)),
+                limitBlock.integer("concurrent", 0), limitBlock.integer("keys", DEFAULT_MAX_KEYS));
+            limitKey = limitBlock.string("key", null);
         }
-        return new Rule(name, block.text("match"), block.text("class"), outputs, allowance, key);
+        return new Rule(name, block.string("match"), block.string("class"), outputs, limitConfig, limitKey);
     }
 }
--- a/cli/src/main/java/ledgewall/cli/SettingsException.java
+++ b/cli/src/main/java/ledgewall/cli/SettingsException.java
@@ -1,6 +1,6 @@
 package ledgewall.cli;
 
-/** Settings that are not accepted; the message says where and what would be right. */
+/** Reports an invalid setting or argument. The message names its location and what is expected. */
 final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/expression/src/test/java/ledgewall/rules/LimiterTest.java
+++ b/expression/src/test/java/ledgewall/rules/LimiterTest.java
@@ -6,96 +6,96 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.SplittableRandom;
-import ledgewall.rules.Limiter.Allowance;
-import ledgewall.rules.Limiter.Verdict;
+import ledgewall.rules.Limiter.Config;
+import ledgewall.rules.Limiter.Admission;
 import org.junit.jupiter.api.Test;
 
 class LimiterTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     @Test
-    void aRateAllowsItsBurstAndThenItself() {
-        Limiter limiter = new Limiter(new Allowance(10, 5, 0, 100));
+    void rateLimitAdmitsBurstThenRefillsAtTheRate() {
+        Limiter limiter = new Limiter(new Config(10, 5, 0, 100));
         int admitted = 0;
         for (int i = 0; i < 20; i++) {
-            admitted += limiter.admit("a", 0) == Verdict.ADMITTED ? 1 : 0;
+            admitted += limiter.admit("a", 0) == Admission.ADMITTED ? 1 : 0;
         }
         assertEquals(5, admitted);
-        assertEquals(SECOND / 10, limiter.retryAfter("a", 0));
-        assertEquals(Verdict.RATE, limiter.admit("a", SECOND / 10 - 1));
-        assertEquals(Verdict.ADMITTED, limiter.admit("a", SECOND / 10 + 1));
-        assertEquals(Verdict.ADMITTED, limiter.admit("b", SECOND / 10 + 1));
-        assertEquals(0, limiter.retryAfter("c", 0));
+        assertEquals(NANOS_PER_SECOND / 10, limiter.retryAfterNs("a", 0));
+        assertEquals(Admission.RATE, limiter.admit("a", NANOS_PER_SECOND / 10 - 1));
+        assertEquals(Admission.ADMITTED, limiter.admit("a", NANOS_PER_SECOND / 10 + 1));
+        assertEquals(Admission.ADMITTED, limiter.admit("b", NANOS_PER_SECOND / 10 + 1));
+        assertEquals(0, limiter.retryAfterNs("c", 0));
     }
 
     @Test
-    void timeThatGoesBackFillsNothing() {
-        Limiter limiter = new Limiter(new Allowance(1, 1, 0, 10));
-        assertEquals(Verdict.ADMITTED, limiter.admit("a", 100 * SECOND));
-        assertEquals(Verdict.RATE, limiter.admit("a", 0));
-        assertEquals(Verdict.RATE, limiter.admit("a", 100 * SECOND + SECOND / 2));
-        assertEquals(Verdict.ADMITTED, limiter.admit("a", 101 * SECOND));
+    void timeGoingBackwardsRefillsNothing() {
+        Limiter limiter = new Limiter(new Config(1, 1, 0, 10));
+        assertEquals(Admission.ADMITTED, limiter.admit("a", 100 * NANOS_PER_SECOND));
+        assertEquals(Admission.RATE, limiter.admit("a", 0));
+        assertEquals(Admission.RATE, limiter.admit("a", 100 * NANOS_PER_SECOND + NANOS_PER_SECOND / 2));
+        assertEquals(Admission.ADMITTED, limiter.admit("a", 101 * NANOS_PER_SECOND));
     }
 
     @Test
-    void soManyAtOnceAndEachReleaseMakesRoomForOne() {
-        Limiter limiter = new Limiter(new Allowance(0, 0, 2, 10));
-        assertEquals(Verdict.ADMITTED, limiter.admit("a", 0));
-        assertEquals(Verdict.ADMITTED, limiter.admit("a", 0));
-        assertEquals(Verdict.CONCURRENCY, limiter.admit("a", 0));
+    void releaseFreesOneConcurrencySlot() {
+        Limiter limiter = new Limiter(new Config(0, 0, 2, 10));
+        assertEquals(Admission.ADMITTED, limiter.admit("a", 0));
+        assertEquals(Admission.ADMITTED, limiter.admit("a", 0));
+        assertEquals(Admission.CONCURRENCY, limiter.admit("a", 0));
         limiter.release("a");
-        assertEquals(Verdict.ADMITTED, limiter.admit("a", 0));
+        assertEquals(Admission.ADMITTED, limiter.admit("a", 0));
         limiter.release("nobody");
-        assertEquals(Verdict.CONCURRENCY, limiter.admit("a", 0));
+        assertEquals(Admission.CONCURRENCY, limiter.admit("a", 0));
     }
 
     @Test
-    void keysMadeUpByClientsHaveABoundAndTakeNobodysPlaceWhoIsServed() {
-        Limiter limiter = new Limiter(new Allowance(1, 1, 1, 50));
-        assertEquals(Verdict.ADMITTED, limiter.admit("served", 0));
+    void inventedKeysAreBoundedAndDoNotEvictKeysInFlight() {
+        Limiter limiter = new Limiter(new Config(1, 1, 1, 50));
+        assertEquals(Admission.ADMITTED, limiter.admit("served", 0));
         for (int i = 0; i < 100_000; i++) {
-            if (limiter.admit("made-up-" + i, i) == Verdict.ADMITTED) {
+            if (limiter.admit("made-up-" + i, i) == Admission.ADMITTED) {
                 limiter.release("made-up-" + i);
             }
-            assertTrue(limiter.keys() <= 50);
+            assertTrue(limiter.keyCount() <= 50);
         }
-        assertEquals(Verdict.CONCURRENCY, limiter.admit("served", SECOND * 10));
+        assertEquals(Admission.CONCURRENCY, limiter.admit("served", NANOS_PER_SECOND * 10));
         limiter.release("served");
     }
 
     @Test
-    void whereEachKeyHasSomethingInHandANewOneIsRefused() {
-        Limiter limiter = new Limiter(new Allowance(0, 0, 1, 3));
+    void newKeyIsRefusedWhileAllKeysAreInFlight() {
+        Limiter limiter = new Limiter(new Config(0, 0, 1, 3));
         for (String key : new String[] {"a", "b", "c"}) {
-            assertEquals(Verdict.ADMITTED, limiter.admit(key, 0));
+            assertEquals(Admission.ADMITTED, limiter.admit(key, 0));
         }
-        assertEquals(Verdict.KEYS, limiter.admit("d", 0));
+        assertEquals(Admission.KEYS, limiter.admit("d", 0));
         limiter.release("b");
-        assertEquals(Verdict.ADMITTED, limiter.admit("d", 0));
+        assertEquals(Admission.ADMITTED, limiter.admit("d", 0));
     }
 
-    /** Over any time no more than burst and rate together, and never more at once than allowed. */
+    /** Admits at most burst plus rate requests in any second, and never exceeds the concurrency limit. */
     @Test
-    void noWindowHoldsMoreThanIsAllowed() {
+    void noWindowExceedsRateBurstAndConcurrency() {
         SplittableRandom random = new SplittableRandom(3);
-        Limiter limiter = new Limiter(new Allowance(100, 20, 7, 10));
+        Limiter limiter = new Limiter(new Config(100, 20, 7, 10));
         Deque<Long> admitted = new ArrayDeque<>();
-        int inHand = 0;
-        long now = 0;
+        int inFlight = 0;
+        long nowNs = 0;
         for (int i = 0; i < 200_000; i++) {
-            now += random.nextInt(4_000_000);
-            if (inHand > 0 && random.nextInt(2) == 0) {
+            nowNs += random.nextInt(4_000_000);
+            if (inFlight > 0 && random.nextInt(2) == 0) {
                 limiter.release("a");
-                inHand--;
-            } else if (limiter.admit("a", now) == Verdict.ADMITTED) {
-                inHand++;
-                admitted.add(now);
+                inFlight--;
+            } else if (limiter.admit("a", nowNs) == Admission.ADMITTED) {
+                inFlight++;
+                admitted.add(nowNs);
             }
-            assertTrue(inHand <= 7);
-            while (!admitted.isEmpty() && admitted.peek() <= now - SECOND) {
+            assertTrue(inFlight <= 7);
+            while (!admitted.isEmpty() && admitted.peek() <= nowNs - NANOS_PER_SECOND) {
                 admitted.poll();
             }
-            assertTrue(admitted.size() <= 121, admitted.size() + " in a second");
+            assertTrue(admitted.size() <= 121, admitted.size() + " admitted in a second");
         }
     }
 }
--- a/expression/src/test/java/ledgewall/rules/RuleTableTest.java
+++ b/expression/src/test/java/ledgewall/rules/RuleTableTest.java
@@ -46,41 +46,41 @@
     }
 
     @Test
-    void theFirstThatMatchesSaysWhatARequestIs() throws RuleException {
-        Map<String, String> named = new LinkedHashMap<>();
-        named.put("writes", "sql.keyword in ['INSERT', 'UPDATE', 'DELETE']");
-        named.put("books", "writes && 'bookings' in sql.tables");
+    void firstMatchingRuleDecides() throws RuleException {
+        Map<String, String> namedExpressions = new LinkedHashMap<>();
+        namedExpressions.put("writes", "sql.keyword in ['INSERT', 'UPDATE', 'DELETE']");
+        namedExpressions.put("books", "writes && 'bookings' in sql.tables");
         Rule booking = new Rule("booking", "books", "book-bay", Map.of(Output.TENANT, "user.split('-')[0]", Output.GROUP,
             "bucket(user, 4)", Output.SESSION, "user", Output.WAIT, "duration('5s')", Output.RETRY, "comment.r == '1'"),
             new Limiter.Allowance(10, 20, 0, 100), "user");
-        RuleTable table = RuleTable.of(schema, Limits.USUAL, named, List.of(booking, rule("status", "!writes", "bay-status"),
+        RuleTable table = RuleTable.of(schema, Limits.USUAL, namedExpressions, List.of(booking, rule("status", "!writes", "bay-status"),
             rule("rest", "true", "trip-history")), CLASSES);
         Decision first = decide(table, frame("sql.keyword", "INSERT", "sql.tables", List.of("bookings"), "user", "kiosk-7"));
         assertEquals("book-bay", first.requestClass());
-        assertEquals("booking", first.name());
+        assertEquals("booking", first.ruleName());
         assertEquals("kiosk", first.tenant());
         assertTrue(first.group() >= 0 && first.group() < 4);
         assertEquals("kiosk-7", first.session());
-        assertEquals(5_000_000_000L, first.longestWait());
+        assertEquals(5_000_000_000L, first.maxWaitNs());
         assertEquals("kiosk-7", first.limitKey());
         assertFalse(first.retry());
-        assertEquals(1, table.errors(0, ErrorKind.ABSENT)); // it has no comment
+        assertEquals(1, table.errorCount(0, ErrorKind.ABSENT)); // the request has no comment, so comment.r is absent
         assertEquals("bay-status", decide(table, frame("sql.keyword", "SELECT")).requestClass());
         assertEquals("trip-history", decide(table, frame()).requestClass());
-        assertEquals(List.of(1L, 1L, 1L), List.of(table.matches(0), table.matches(1), table.matches(2)));
+        assertEquals(List.of(1L, 1L, 1L), List.of(table.matchCount(0), table.matchCount(1), table.matchCount(2)));
         assertEquals(List.of(), table.warnings());
     }
 
     @Test
-    void whatNoRuleMatchesIsNothing() throws RuleException {
+    void requestWithoutMatchingRuleHasNoDecision() throws RuleException {
         RuleTable table = table(rule("a", "user == 'x'", "bay-status"));
         assertFalse(decide(table, frame("user", "y")).matched());
-        assertEquals(1, table.unmatched());
+        assertEquals(1, table.unmatchedCount());
         assertTrue(table.warnings().get(0).startsWith("no rule matches every request"));
     }
 
     @Test
-    void aTableThatIsWrongAnywhereIsRefusedWhole() {
+    void anyInvalidRuleRejectsTheWholeTable() {
         RuleException type = assertThrows(RuleException.class, () -> table(rule("first", "true", "bay-status"),
             rule("nobody gets here", "false && (user == 'a' || size(user) == 'b')", "bay-status")));
         assertTrue(type.show().startsWith("rule \"nobody gets here\", match:1:37: no '==' for int and string"), type.show());
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void rulesThatCannotMatchAreTold() throws RuleException {
+    void rulesThatCannotMatchAreReported() throws RuleException {
         RuleTable table = table(
             rule("a", "sql.keyword in ['INSERT', 'UPDATE']", "book-bay"),
             rule("b", "user.startsWith('k') && sql.keyword == 'UPDATE'", "book-bay"),
@@ -110,24 +110,24 @@
         assertEquals(List.of("b", "d", "f", "h", "j"), names.stream().distinct().toList());
     }
 
-    /** Whatever the rules and the request, the index finds the rule that trying each in order finds. */
+    /** Random tables and requests: the index and a linear scan must find the same rule. */
     @Test
-    void theIndexChoosesAsTryingEachInOrderDoes() throws RuleException {
+    void indexFindsTheSameRuleAsALinearScan() throws RuleException {
         SplittableRandom random = new SplittableRandom(11);
         int matched = 0;
-        Set<String> ways = new TreeSet<>();
+        Set<String> lookups = new TreeSet<>();
         for (int round = 0; round < 60; round++) {
             List<Rule> rules = new ArrayList<>();
             for (int i = 0; i < 1 + random.nextInt(120); i++) {
-                StringBuilder match = new StringBuilder(part(random));
+                StringBuilder match = new StringBuilder(randomCondition(random));
                 for (int j = random.nextInt(3); j > 0; j--) {
-                    match.append(random.nextInt(6) == 0 ? " || " : " && ").append(part(random));
+                    match.append(random.nextInt(6) == 0 ? " || " : " && ").append(randomCondition(random));
                 }
                 rules.add(rule("r" + i, match.toString(), "bay-status"));
             }
             RuleTable table = RuleTable.of(schema, Limits.USUAL, Map.of(), rules, CLASSES);
             for (int i = 0; i < rules.size(); i++) {
-                ways.add(table.way(i));
+                lookups.add(table.lookup(i));
             }
             for (int i = 0; i < 100; i++) {
                 Frame frame = frame("user", "u" + random.nextInt(30), "path", "/a/b/c/d".substring(0, random.nextInt(9)),
@@ -139,15 +139,15 @@
                     frame.set(schema.attribute("database"), "d" + random.nextInt(4));
                 }
                 Decision decision = decide(table, frame);
-                assertEquals(table.scan(frame), decision.rule());
+                assertEquals(table.firstMatchByScan(frame), decision.ruleIndex());
                 matched += decision.matched() ? 1 : 0;
             }
         }
         assertTrue(matched > 1_000, "only " + matched + " matched");
-        assertEquals(Set.of("equality", "prefix", "range", "scan"), ways);
+        assertEquals(Set.of("equality", "prefix", "range", "scan"), lookups);
     }
 
-    private static String part(SplittableRandom random) {
+    private static String randomCondition(SplittableRandom random) {
         int number = random.nextInt(40);
         return switch (random.nextInt(12)) {
             case 0 -> "user == 'u" + number % 30 + "'";
