--- a/cli/src/main/java/ledgewall/cli/AttributeJson.java
+++ b/cli/src/main/java/ledgewall/cli/AttributeJson.java
@@ -67,7 +67,7 @@
             case DOUBLE -> parser.getDoubleValue();
             case STRING -> parser.getText();
             case BYTES -> Bytes.of(parser.getBinaryValue());
-            case DURATION, TIMESTAMP -> AttributeText.read(name, type, parser.getText());
+            case DURATION, TIMESTAMP -> AttributeText.parseConstant(name, type, parser.getText());
             case LIST -> {
                 List<Object> elements = new ArrayList<>();
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
--- a/cli/src/main/java/ledgewall/cli/RulesCommand.java
+++ b/cli/src/main/java/ledgewall/cli/RulesCommand.java
@@ -37,7 +37,7 @@
     /** The names of the classes in a configuration. */
     static Set<String> classNames(RouterConfig settings) throws SettingsException {
         if (settings == null) {
-            throw new SettingsException("rules are checked against the classes of a configuration: name one before the rules file");
+            throw new SettingsException("rules are checked against the classes of a configuration: name one before them");
         }
         return new TreeSet<>(settings.vocabulary().classes());
     }
--- a/cli/src/test/java/ledgewall/cli/CliTest.java
+++ b/cli/src/test/java/ledgewall/cli/CliTest.java
@@ -17,88 +17,92 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** The command line, and what files of settings are refused. */
+/** Tests the commands, and the errors for invalid settings files. */
 class CliTest {
     private static final String CONFIG = "deploy/parking.json";
     private final StringWriter out = new StringWriter();
 
+    /** Runs a command and returns its exit code. */
     private int run(String... args) {
-        CommandLine line = Ledgewall.commandLine();
-        line.setOut(new PrintWriter(out));
-        line.setErr(new PrintWriter(out));
-        return line.execute(args);
+        CommandLine commandLine = Ledgewall.commandLine();
+        commandLine.setOut(new PrintWriter(out));
+        commandLine.setErr(new PrintWriter(out));
+        return commandLine.execute(args);
     }
 
-    private String said() {
+    /** Returns and clears what was printed. */
+    private String takeOutput() {
         String text = out.toString();
         out.getBuffer().setLength(0);
         return text;
     }
 
     @Test
-    void theDeployedExamplesAreWellAndKeepTheirCases() {
+    void deployedExamplesAreValidAndPassTheirCases() {
         assertEquals(0, run("check", CONFIG, "deploy/rules.hcl"), out::toString);
-        assertTrue(said().contains("deploy/rules.hcl: ok, 5 rules"));
+        assertTrue(takeOutput().contains("deploy/rules.hcl: ok, 5 rules"));
         assertEquals(0, run("rules", "test", "--config", CONFIG, "deploy/rules.hcl", "deploy/rules-cases.hcl"), out::toString);
-        assertTrue(said().contains("7 passed, 0 failed"));
+        assertTrue(takeOutput().contains("7 passed, 0 failed"));
         assertEquals(0, run("rules", "explain", "--config", CONFIG, "deploy/rules.hcl"));
-        assertTrue(said().contains("booking                  book-bay         equality"));
+        assertTrue(takeOutput().contains("booking                  book-bay         equality"));
     }
 
     @Test
-    void aCaseThatDoesNotHoldIsTold(@TempDir Path folder) throws IOException {
+    void failingCaseIsReported(@TempDir Path folder) throws IOException {
         Path cases = folder.resolve("cases.hcl");
         Files.writeString(cases, "case \"x\" {\n sql = \"SELECT 1\"\n expect {\n class = \"book-bay\"\n }\n}\n");
         assertEquals(1, run("rules", "test", "--config", CONFIG, "deploy/rules.hcl", cases.toString()));
-        assertTrue(said().contains("case \"x\": class is 'bay-status', not 'book-bay'"));
+        assertTrue(takeOutput().contains("case \"x\": class is 'bay-status', not 'book-bay'"));
         Files.writeString(cases, "case \"x\" {\n sql = \"SELECT 1\"\n expect {\n klass = \"book-bay\"\n }\n}\n");
         assertEquals(1, run("rules", "test", "--config", CONFIG, "deploy/rules.hcl", cases.toString()));
-        assertTrue(said().contains("unknown expectation 'klass'"));
+        assertTrue(takeOutput().contains("unknown expectation 'klass'"));
     }
 
     @Test
     void expressionsAreCheckedEvaluatedAndExplained() {
         assertEquals(0, run("expression", "eval", "now.getHours() + size(sql.tables) + size(headers)", "now=2026-12-01T08:00:00Z",
             "sql.tables=a,b", "headers=x=1,y=2"));
-        assertEquals("12", said().strip());
+        assertEquals("12", takeOutput().strip());
         assertEquals(1, run("expression", "eval", "headers['z'] == ''", "headers="));
-        assertEquals("error: no_such_key", said().strip());
+        assertEquals("error: no_such_key", takeOutput().strip());
         assertEquals(1, run("expression", "check", "usr == 'x'"));
-        assertTrue(said().contains("did you mean 'user'?\n  usr == 'x'\n  ^"));
+        assertTrue(takeOutput().contains("did you mean 'user'?\n  usr == 'x'\n  ^"));
         assertEquals(0, run("expression", "explain", "user == 'x' && path.startsWith('/v')"));
-        assertTrue(said().contains("index: user in [x]; path begins with '/v'"));
+        assertTrue(takeOutput().contains("index: user in [x]; path begins with '/v'"));
         assertEquals(1, run("expression", "eval", "true", "now=yesterday"));
-        assertTrue(said().contains("'now' is to be timestamp"));
+        assertTrue(takeOutput().contains("'now' is to be timestamp"));
         assertEquals(2, run("expression", "chek", "true"));
         assertEquals(2, run());
-        said();
+        takeOutput();
         assertEquals(0, run("help", "serve"));
-        assertTrue(said().contains("--rules"));
+        assertTrue(takeOutput().contains("--rules"));
         assertEquals(1, run("serve", "nowhere.json"));
-        assertTrue(said().contains("ledgewall: no such file: nowhere.json"));
+        assertTrue(takeOutput().contains("ledgewall: no such file: nowhere.json"));
     }
 
     @Test
-    void aRequestMayBeJson(@TempDir Path folder) throws IOException {
+    void requestCanBeReadFromJson(@TempDir Path folder) throws IOException {
         Path request = folder.resolve("request.json");
         Files.writeString(request, "{\"user\": \"kiosk-7\", \"sql.tables\": [\"bays\"], \"sql.writes\": true,"
             + " \"comment\": {\"c\": \"x\"}, \"tls.name\": null, \"now\": \"2026-12-01T08:00:00Z\"}");
         assertEquals(0, run("expression", "eval", "--request", request.toString(),
             "sql.writes && 'bays' in sql.tables && comment.c == 'x' && !tls.name.hasValue() && now.getHours() == 8"));
-        assertEquals("true", said().strip());
-        for (String bad : new String[] {"", "[]", "{\"user\": 5}", "{\"usr\": \"x\"}", "{\"now\": \"noon\"}", "{} {}",
+        assertEquals("true", takeOutput().strip());
+        for (String invalidJson : new String[] {"", "[]", "{\"user\": 5}", "{\"usr\": \"x\"}", "{\"now\": \"noon\"}", "{} {}",
             "{\"sql.tables\": [[]]}"}) {
-            Files.writeString(request, bad);
-            assertEquals(1, run("expression", "eval", "--request", request.toString(), "true"), bad);
-            assertTrue(said().startsWith("ledgewall: "), bad);
+            Files.writeString(request, invalidJson);
+            assertEquals(1, run("expression", "eval", "--request", request.toString(), "true"), invalidJson);
+            assertTrue(takeOutput().startsWith("ledgewall: "), invalidJson);
         }
     }
 
-    private static String refused(String text) {
+    /** The message of the error that a rules file is rejected with. */
+    private static String parseError(String text) {
         return assertThrows(SettingsException.class, () -> RulesFile.parse("rules.hcl", text, Set.of("book-bay", "bay-status")))
             .getMessage();
     }
 
+    /** A rules file with one valid rule and these additional settings in it. */
     private static String rule(String settings) {
         return "rule \"a\" {\n match = \"true\"\n class = \"book-bay\"\n " + settings + "\n}\n";
     }
@@ -112,44 +116,47 @@
         "limit { rte = 1 } ~ unknown setting 'rte'",
         "tenant = \"usr\" ~ rule \"a\", tenant:1:1: unknown name 'usr'; did you mean 'user'?",
         "group = \"'x'\" ~ is to be int, this is string", "limit { concurrent = 1.5 } ~ to be a whole number"})
-    void aSettingThatIsWrongIsToldWithItsPlace(String setting, String message) {
-        String refusal = refused(rule(setting.replace("{ ", "{\n").replace(" }", "\n}")));
-        assertTrue(refusal.contains(message), refusal);
+    void invalidSettingIsReportedWithItsLocation(String setting, String message) {
+        String error = parseError(rule(setting.replace("{ ", "{\n").replace(" }", "\n}")));
+        assertTrue(error.contains(message), error);
     }
 
     @Test
-    void aFileThatIsWrongAsAWholeIsRefused() {
-        assertTrue(refused("").contains("no rule"));
-        assertTrue(refused("commments = \"win\"\n" + rule("")).contains("unknown setting 'commments'"));
-        assertTrue(refused("comments = \"maybe\"\n" + rule("")).contains("\"win\" or \"lose\""));
-        assertTrue(refused(rule("") + rule("")).contains("two blocks are rule \"a\""));
-        assertTrue(refused("rule {\n match = \"true\"\n}\n").contains("need a name"));
-        assertTrue(refused("rule \"a\" {\n match = \"true\"\n}\n").contains("lacks 'class'"));
-        assertTrue(refused("expressions {\n a = \"b\"\n b = \"true\"\n}\n" + rule(""))
+    void invalidFileIsRejected() {
+        assertTrue(parseError("").contains("no rule"));
+        assertTrue(parseError("commments = \"win\"\n" + rule("")).contains("unknown setting 'commments'"));
+        assertTrue(parseError("comments = \"maybe\"\n" + rule("")).contains("\"win\" or \"lose\""));
+        assertTrue(parseError(rule("") + rule("")).contains("two blocks are rule \"a\""));
+        assertTrue(parseError("rule {\n match = \"true\"\n}\n").contains("need a name"));
+        assertTrue(parseError("rule \"a\" {\n match = \"true\"\n}\n").contains("lacks 'class'"));
+        assertTrue(parseError("expressions {\n a = \"b\"\n b = \"true\"\n}\n" + rule(""))
             .contains("expression \"a\":1:1: unknown name 'b'"));
-        assertTrue(refused("limits {\n steps = 0\n}\n" + rule("")).contains("can take 1 steps"));
+        assertTrue(parseError("limits {\n steps = 0\n}\n" + rule("")).contains("can take 1 steps"));
     }
 
-    /** Whatever is left of a file, or put into it, it is taken or refused; the parser's own failures reach nobody. */
+    /**
+     * A file that is truncated or has a changed character is either accepted or rejected with a SettingsException; no
+     * unchecked error of the HCL parser escapes.
+     */
     @Test
-    void damagedFilesAreTakenOrRefused() throws IOException {
-        String whole = Files.readString(Path.of("deploy/rules.hcl"));
+    void damagedFilesAreAcceptedOrRejectedWithASettingsError() throws IOException {
+        String original = Files.readString(Path.of("deploy/rules.hcl"));
         SplittableRandom random = new SplittableRandom(9);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 2_000; i++) {
-            StringBuilder text = new StringBuilder(whole);
-            int at = random.nextInt(text.length());
+            StringBuilder text = new StringBuilder(original);
+            int position = random.nextInt(text.length());
             if (random.nextBoolean()) {
-                text.setLength(at);
+                text.setLength(position);
             } else {
-                text.setCharAt(at, "{}\"=[](\\$\n#x<".charAt(random.nextInt(13)));
+                text.setCharAt(position, "{}\"=[](\\$\n#x<".charAt(random.nextInt(13)));
             }
             try {
                 RulesFile.parse("rules.hcl", text.toString(), Set.of("book-bay", "bay-status", "trip-history"));
             } catch (SettingsException e) {
-                refused++;
+                rejected++;
             }
         }
-        assertTrue(refused > 500, refused + " refused");
+        assertTrue(rejected > 500, rejected + " rejected");
     }
 }
--- a/cli/src/test/java/ledgewall/cli/EndToEndTest.java
+++ b/cli/src/test/java/ledgewall/cli/EndToEndTest.java
@@ -31,16 +31,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Plain SQL through the router to a primary and a replica of our own, classified by a file of rules: writes reach the primary
- * alone, each once at most though some are cut off; whoever asks for too much is refused.
+ * Sends SQL without comments through a router to a fake primary and a fake replica, classified by a rules file. Writes must
+ * reach only the primary, each at most once even if the connection is reset; requests over a rule's limit must be refused.
  */
 @Timeout(60)
 class EndToEndTest {
     @TempDir
     private Path folder;
 
-    private final Map<String, Integer> atPrimary = new ConcurrentHashMap<>();
-    private final Map<String, Integer> atReplica = new ConcurrentHashMap<>();
+    private final Map<String, Integer> executionsAtPrimary = new ConcurrentHashMap<>();
+    private final Map<String, Integer> executionsAtReplica = new ConcurrentHashMap<>();
     private StandInServer primary;
     private StandInServer replica;
     private StandInServer discovery;
@@ -48,17 +48,17 @@
     private RouterConfig config;
     private RuleClassifier classifier;
 
-    private StandInServer host(boolean isPrimary, Map<String, Integer> seen) throws IOException {
+    private StandInServer startServer(boolean isPrimary, Map<String, Integer> executions) throws IOException {
         return StandInServer.host((connection, sql) -> {
             if (sql.equals("SELECT 1") || sql.equals("SHOW stats")) {
-                String report = "x0=" + System.currentTimeMillis() / 1_000 + ",x1=" + (isPrimary ? 1 : 0);
-                connection.write(Wire.row(report.getBytes(java.nio.charset.StandardCharsets.US_ASCII)),
+                String stats = "x0=" + System.currentTimeMillis() / 1_000 + ",x1=" + (isPrimary ? 1 : 0);
+                connection.write(Wire.row(stats.getBytes(java.nio.charset.StandardCharsets.US_ASCII)),
                     Wire.set("mode", isPrimary ? "read-write" : "read-only"), Wire.ready());
                 return;
             }
-            seen.merge(sql, 1, Integer::sum);
+            executions.merge(sql, 1, Integer::sum);
             if (sql.contains("cut off")) {
-                connection.reset(); // it has run, and nobody hears so
+                connection.reset(); // after the execution, before the answer
                 return;
             }
             connection.write(Wire.row(sql.getBytes(java.nio.charset.StandardCharsets.UTF_8)),
@@ -68,19 +68,19 @@
 
     @BeforeEach
     void start() throws IOException, SettingsException {
-        primary = host(true, atPrimary);
-        replica = host(false, atReplica);
+        primary = startServer(true, executionsAtPrimary);
+        replica = startServer(false, executionsAtReplica);
         discovery = new StandInServer(StandInServer.Connection::awaitEnd);
         Path file = folder.resolve("router.json");
         Files.writeString(file, Files.readString(Path.of("deploy/parking.json")).replace("127.0.0.1:5433", "127.0.0.1:0")
             .replace("127.0.0.1:8500", discovery.address()).replace("127.0.0.1:5441", primary.address())
             .replace("127.0.0.1:5442", replica.address()));
         config = RouterConfig.read(file);
-        classifier = new RuleClassifier(rules(Files.readString(Path.of("deploy/rules.hcl"))), config, null);
+        classifier = new RuleClassifier(parseRules(Files.readString(Path.of("deploy/rules.hcl"))), config, null);
         router = Router.start(config, ReplicaRoutingPolicy::new, classifier);
     }
 
-    private RulesFile rules(String text) throws SettingsException {
+    private RulesFile parseRules(String text) throws SettingsException {
         return RulesFile.parse("rules.hcl", text, Set.copyOf(config.vocabulary().classes()));
     }
 
@@ -99,8 +99,11 @@
         return client;
     }
 
-    /** Asks until it is known who is primary; before that a write waits, which is the module's to decide. */
-    private static String ask(Client client, String sql) throws IOException {
+    /**
+     * Sends a query and returns the types of the messages in the answer, with the SQLSTATE in place of an error's type.
+     * Before the router knows which member is the primary, the routing policy makes a write wait.
+     */
+    private static String query(Client client, String sql) throws IOException {
         client.send(Wire.query(sql));
         StringBuilder types = new StringBuilder();
         for (Message message : client.untilReady()) {
@@ -110,41 +113,43 @@
     }
 
     @Test
-    void mixedPlainSqlGoesWhereTheRulesSay() throws IOException, InterruptedException, ExecutionException {
+    void mixedStatementsAreRoutedByTheRules() throws IOException, InterruptedException, ExecutionException {
         ExecutorService clients = Executors.newFixedThreadPool(8);
         List<Future<Map<String, String>>> results = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            int number = i;
+            int clientNumber = i;
             results.add(clients.submit(() -> {
-                SplittableRandom random = new SplittableRandom(number);
-                Map<String, String> answers = new ConcurrentHashMap<>();
-                try (Client client = client("kiosk-" + number)) {
-                    for (int j = 0; j < 30; j++) {
-                        String id = "'" + number + "-" + j + "'";
+                SplittableRandom random = new SplittableRandom(clientNumber);
+                Map<String, String> outcomes = new ConcurrentHashMap<>();
+                try (Client client = client("kiosk-" + clientNumber)) {
+                    for (int requestNumber = 0; requestNumber < 30; requestNumber++) {
+                        String id = "'" + clientNumber + "-" + requestNumber + "'";
                         String sql = switch (random.nextInt(4)) {
                             case 0 -> "INSERT INTO bookings VALUES (" + id + ") RETURNING id";
                             case 1 -> "WITH w AS (UPDATE bays SET free = true WHERE id = " + id + " RETURNING 'cut off') TABLE w";
                             case 2 -> "SELECT free FROM bays WHERE id = " + id;
                             default -> "SELECT at FROM trips WHERE car = " + id;
                         };
-                        answers.put(sql, ask(client, sql));
+                        outcomes.put(sql, query(client, sql));
                     }
                 }
-                return answers;
+                return outcomes;
             }));
         }
         int served = 0;
         int failed = 0;
         for (Future<Map<String, String>> result : results) {
-            for (Map.Entry<String, String> answer : result.get().entrySet()) {
-                String sql = answer.getKey();
-                boolean writes = !sql.startsWith("SELECT");
-                assertTrue(Set.of("TDC", "53300", "08006").contains(answer.getValue()), sql + ": " + answer.getValue());
-                assertTrue(!writes || !atReplica.containsKey(sql), sql);
-                assertTrue(!writes || atPrimary.getOrDefault(sql, 0) <= 1, sql + " ran " + atPrimary.get(sql) + " times");
-                assertEquals(sql.contains("cut off") && atPrimary.containsKey(sql), answer.getValue().equals("08006"), sql);
-                served += answer.getValue().equals("TDC") ? 1 : 0;
-                failed += answer.getValue().equals("08006") ? 1 : 0;
+            for (Map.Entry<String, String> outcome : result.get().entrySet()) {
+                String sql = outcome.getKey();
+                boolean isWrite = !sql.startsWith("SELECT");
+                assertTrue(Set.of("TDC", "53300", "08006").contains(outcome.getValue()), sql + ": " + outcome.getValue());
+                assertTrue(!isWrite || !executionsAtReplica.containsKey(sql), sql);
+                assertTrue(!isWrite || executionsAtPrimary.getOrDefault(sql, 0) <= 1,
+                    sql + " ran " + executionsAtPrimary.get(sql) + " times");
+                assertEquals(sql.contains("cut off") && executionsAtPrimary.containsKey(sql),
+                    outcome.getValue().equals("08006"), sql);
+                served += outcome.getValue().equals("TDC") ? 1 : 0;
+                failed += outcome.getValue().equals("08006") ? 1 : 0;
             }
         }
         clients.shutdown();
@@ -153,33 +158,32 @@
     }
 
     @Test
-    void whoAsksForTooMuchIsRefusedAndOthersAreNot() throws IOException {
-        try (Client greedy = client("desk"); Client other = client("kiosk-1")) {
+    void clientOverItsLimitIsRefusedAndOthersAreServed() throws IOException {
+        try (Client limitedClient = client("desk"); Client otherClient = client("kiosk-1")) {
             int refused = 0;
             for (int i = 0; i < 60; i++) {
-                refused += ask(greedy, "INSERT INTO bookings VALUES ('" + i + "')").equals("53300") ? 1 : 0;
+                refused += query(limitedClient, "INSERT INTO bookings VALUES ('" + i + "')").equals("53300") ? 1 : 0;
             }
             assertTrue(refused >= 10, refused + " refused of 60 beyond a burst of 40");
-            assertEquals("TDC", ask(other, "INSERT INTO bookings VALUES ('x')"));
-            assertEquals("TDC", ask(greedy, "SELECT free FROM bays"));
+            assertEquals("TDC", query(otherClient, "INSERT INTO bookings VALUES ('x')"));
+            assertEquals("TDC", query(limitedClient, "SELECT free FROM bays"));
         }
     }
 
-    /** Tables replaced under traffic: a bad one changes nothing, a good one holds from then on, nothing is lost. */
+    /** Replaces the rule table between requests of one connection: invalid rules change nothing, valid ones apply at once. */
     @Test
-    void aReloadUnderTrafficIsWholeOrNotAtAll() throws IOException, SettingsException {
+    void rejectedReloadKeepsTheRulesAndAValidOneReplacesThem() throws IOException, SettingsException {
         String text = Files.readString(Path.of("deploy/rules.hcl"));
-        RulesFile strict = rules(text.replace("sql.keyword == 'SELECT'\"", "sql.keyword == 'SELECT' && false\"")
+        RulesFile rulesWithoutReads = parseRules(text.replace("sql.keyword == 'SELECT'\"", "sql.keyword == 'SELECT' && false\"")
             .replace("match = \"true\"", "match = \"false\""));
-        RuleClassifier second = new RuleClassifier(strict, config, classifier);
+        RuleClassifier secondClassifier = new RuleClassifier(rulesWithoutReads, config, classifier);
         try (Client client = client("kiosk-1")) {
-            assertEquals("TDC", ask(client, "SELECT free FROM bays"));
-            router.classifyBy(second);
-            assertEquals("42601", ask(client, "SELECT free FROM bays"));
-            assertThrows(SettingsException.class, () -> rules(text.replace("sql.writes",
-                "sql.writs")));
-            router.classifyBy(new RuleClassifier(rules(text), config, second));
-            assertEquals("TDC", ask(client, "SELECT free FROM bays"));
+            assertEquals("TDC", query(client, "SELECT free FROM bays"));
+            router.classifyBy(secondClassifier);
+            assertEquals("42601", query(client, "SELECT free FROM bays"));
+            assertThrows(SettingsException.class, () -> parseRules(text.replace("sql.writes", "sql.writs")));
+            router.classifyBy(new RuleClassifier(parseRules(text), config, secondClassifier));
+            assertEquals("TDC", query(client, "SELECT free FROM bays"));
         }
     }
 }
--- a/expression/src/test/java/ledgewall/rules/LimiterTest.java
+++ b/expression/src/test/java/ledgewall/rules/LimiterTest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.SplittableRandom;
-import ledgewall.rules.Limiter.Config;
 import ledgewall.rules.Limiter.Admission;
+import ledgewall.rules.Limiter.Config;
 import org.junit.jupiter.api.Test;
 
 class LimiterTest {
--- a/expression/src/test/java/ledgewall/rules/RuleTableTest.java
+++ b/expression/src/test/java/ledgewall/rules/RuleTableTest.java
@@ -52,9 +52,9 @@
         namedExpressions.put("books", "writes && 'bookings' in sql.tables");
         Rule booking = new Rule("booking", "books", "book-bay", Map.of(Output.TENANT, "user.split('-')[0]", Output.GROUP,
             "bucket(user, 4)", Output.SESSION, "user", Output.WAIT, "duration('5s')", Output.RETRY, "comment.r == '1'"),
-            new Limiter.Allowance(10, 20, 0, 100), "user");
-        RuleTable table = RuleTable.of(schema, Limits.USUAL, namedExpressions, List.of(booking, rule("status", "!writes", "bay-status"),
-            rule("rest", "true", "trip-history")), CLASSES);
+            new Limiter.Config(10, 20, 0, 100), "user");
+        RuleTable table = RuleTable.of(schema, Limits.USUAL, namedExpressions, List.of(booking,
+            rule("status", "!writes", "bay-status"), rule("rest", "true", "trip-history")), CLASSES);
         Decision first = decide(table, frame("sql.keyword", "INSERT", "sql.tables", List.of("bookings"), "user", "kiosk-7"));
         assertEquals("book-bay", first.requestClass());
         assertEquals("booking", first.ruleName());
@@ -82,8 +82,8 @@
     @Test
     void anyInvalidRuleRejectsTheWholeTable() {
         RuleException type = assertThrows(RuleException.class, () -> table(rule("first", "true", "bay-status"),
-            rule("nobody gets here", "false && (user == 'a' || size(user) == 'b')", "bay-status")));
-        assertTrue(type.show().startsWith("rule \"nobody gets here\", match:1:37: no '==' for int and string"), type.show());
+            rule("unreachable", "false && (user == 'a' || size(user) == 'b')", "bay-status")));
+        assertTrue(type.show().startsWith("rule \"unreachable\", match:1:37: no '==' for int and string"), type.show());
         assertTrue(assertThrows(RuleException.class, () -> table(rule("a", "true", "book-boy"))).getMessage()
             .contains("no class 'book-boy'; there are bay-status, book-bay, trip-history"));
         assertTrue(assertThrows(RuleException.class, () -> table(rule("a", "user", "book-bay"))).getMessage()
@@ -91,7 +91,7 @@
         assertThrows(RuleException.class, () -> table(rule("a", "true", "book-bay"), rule("a", "true", "book-bay")));
         assertThrows(RuleException.class, () -> table(new Rule("a", "true", "book-bay", Map.of(Output.WAIT, "5"), null, null)));
         assertThrows(RuleException.class, () -> table(new Rule("a", "true", "book-bay", Map.of(),
-            new Limiter.Allowance(0, 0, 0, 10), null)));
+            new Limiter.Config(0, 0, 0, 10), null)));
     }
 
     @Test
