--- a/cli/src/main/java/ledgewall/cli/RulesFile.java
+++ b/cli/src/main/java/ledgewall/cli/RulesFile.java
@@ -20,7 +20,7 @@
 import ledgewall.rules.RuleTable;
 
 /**
- * A rules file in HCL. An error anywhere in it rejects the whole file.
+ * A rules file in HCL. An error anywhere in it rejects the whole file. The operators' documentation describes the format.
  *
  * @param table the rules of the file
  * @param overridesComments whether the rules take precedence over the comment in a statement
--- a/expression/src/main/java/ledgewall/rules/RuleIndex.java
+++ b/expression/src/main/java/ledgewall/rules/RuleIndex.java
@@ -33,8 +33,11 @@
 
     private final Map<Subject, SubjectIndex> indexes = new LinkedHashMap<>();
     private final Subject[] indexedSubjects;
+    /** The values of {@link #indexes}, in the order of {@link #indexedSubjects}. */
     private final SubjectIndex[] subjectIndexes;
+    /** Rules that are tried for every request. */
     private final int[] unindexedRules;
+    /** How each rule is found, by rule index. */
     private final Lookup[] lookups;
 
     RuleIndex(List<Program> conditions) {
--- a/expression/src/test/java/ledgewall/rules/LimiterTest.java
+++ b/expression/src/test/java/ledgewall/rules/LimiterTest.java
@@ -79,7 +79,7 @@
     void noWindowExceedsRateBurstAndConcurrency() {
         SplittableRandom random = new SplittableRandom(3);
         Limiter limiter = new Limiter(new Config(100, 20, 7, 10));
-        Deque<Long> admitted = new ArrayDeque<>();
+        Deque<Long> admittedAtNs = new ArrayDeque<>();
         int inFlight = 0;
         long nowNs = 0;
         for (int i = 0; i < 200_000; i++) {
@@ -89,13 +89,13 @@
                 inFlight--;
             } else if (limiter.admit("a", nowNs) == Admission.ADMITTED) {
                 inFlight++;
-                admitted.add(nowNs);
+                admittedAtNs.add(nowNs);
             }
             assertTrue(inFlight <= 7);
-            while (!admitted.isEmpty() && admitted.peek() <= nowNs - NANOS_PER_SECOND) {
-                admitted.poll();
+            while (!admittedAtNs.isEmpty() && admittedAtNs.peek() <= nowNs - NANOS_PER_SECOND) {
+                admittedAtNs.poll();
             }
-            assertTrue(admitted.size() <= 121, admitted.size() + " admitted in a second");
+            assertTrue(admittedAtNs.size() <= 121, admittedAtNs.size() + " admitted in a second");
         }
     }
 }
