--- a/bench/src/main/java/ledgewall/bench/RuleTableBenchmark.java
+++ b/bench/src/main/java/ledgewall/bench/RuleTableBenchmark.java
@@ -35,7 +35,7 @@
     private static final int FRAMES = 256;
 
     @Param({"10", "100", "1000", "10000"})
-    private int rules;
+    private int rules; // number of rules in the table
 
     private RuleTable table;
     private final Frame[] frames = new Frame[FRAMES];
@@ -56,6 +56,7 @@
         }
         table = RuleTable.of(schema, Limits.USUAL, Map.of(), ruleList, Set.of("c"));
         for (int i = 0; i < FRAMES; i++) {
+            // Knuth's multiplicative hash spreads the requests over the rules
             int ruleNumber = (int) (i * 2_654_435_761L % rules);
             Frame frame = new Frame(schema);
             frame.set(schema.attribute("user"), "u" + ruleNumber);
--- a/cli/src/main/java/ledgewall/cli/RulesFile.java
+++ b/cli/src/main/java/ledgewall/cli/RulesFile.java
@@ -72,7 +72,7 @@
             return new RulesFile(RuleTable.of(Schema.ofRequests(), parseLimits(file.block("limits")), namedExpressions, rules,
                 classes), comments.equals("lose"));
         } catch (RuleException e) {
-            throw new SettingsException(name + ": " + e.show());
+            throw new SettingsException(name + ": " + e.detailedMessage());
         }
     }
 
--- a/cli/src/test/java/ledgewall/cli/EndToEndTest.java
+++ b/cli/src/test/java/ledgewall/cli/EndToEndTest.java
@@ -92,7 +92,7 @@
         discovery.close();
     }
 
-    private Client client(String user) throws IOException {
+    private Client connect(String user) throws IOException {
         Client client = new Client(router.listening());
         client.send(Wire.startup("user", user, "database", "songshan"));
         client.untilReady();
@@ -120,8 +120,8 @@
             int clientNumber = i;
             results.add(clients.submit(() -> {
                 SplittableRandom random = new SplittableRandom(clientNumber);
-                Map<String, String> outcomes = new ConcurrentHashMap<>();
-                try (Client client = client("kiosk-" + clientNumber)) {
+                Map<String, String> outcomesBySql = new ConcurrentHashMap<>();
+                try (Client client = connect("kiosk-" + clientNumber)) {
                     for (int requestNumber = 0; requestNumber < 30; requestNumber++) {
                         String id = "'" + clientNumber + "-" + requestNumber + "'";
                         String sql = switch (random.nextInt(4)) {
@@ -130,10 +130,10 @@
                             case 2 -> "SELECT free FROM bays WHERE id = " + id;
                             default -> "SELECT at FROM trips WHERE car = " + id;
                         };
-                        outcomes.put(sql, query(client, sql));
+                        outcomesBySql.put(sql, query(client, sql));
                     }
                 }
-                return outcomes;
+                return outcomesBySql;
             }));
         }
         int served = 0;
@@ -159,7 +159,7 @@
 
     @Test
     void clientOverItsLimitIsRefusedAndOthersAreServed() throws IOException {
-        try (Client limitedClient = client("desk"); Client otherClient = client("kiosk-1")) {
+        try (Client limitedClient = connect("desk"); Client otherClient = connect("kiosk-1")) {
             int refused = 0;
             for (int i = 0; i < 60; i++) {
                 refused += query(limitedClient, "INSERT INTO bookings VALUES ('" + i + "')").equals("53300") ? 1 : 0;
@@ -177,7 +177,7 @@
         RulesFile rulesWithoutReads = parseRules(text.replace("sql.keyword == 'SELECT'\"", "sql.keyword == 'SELECT' && false\"")
             .replace("match = \"true\"", "match = \"false\""));
         RuleClassifier secondClassifier = new RuleClassifier(rulesWithoutReads, config, classifier);
-        try (Client client = client("kiosk-1")) {
+        try (Client client = connect("kiosk-1")) {
             assertEquals("TDC", query(client, "SELECT free FROM bays"));
             router.classifyBy(secondClassifier);
             assertEquals("42601", query(client, "SELECT free FROM bays"));
--- a/expression/src/main/java/ledgewall/rules/RuleException.java
+++ b/expression/src/main/java/ledgewall/rules/RuleException.java
@@ -23,7 +23,7 @@
     }
 
     /** The message; for an error in an expression, also the expression's line with a caret under the error. */
-    public String show() {
+    public String detailedMessage() {
         return getCause() instanceof ExpressionException e ? e.show(location, source) : getMessage();
     }
 
--- a/expression/src/main/java/ledgewall/rules/RuleTable.java
+++ b/expression/src/main/java/ledgewall/rules/RuleTable.java
@@ -244,7 +244,7 @@
                 case SESSION -> decision.session = (String) value;
                 case WAIT -> decision.maxWaitNs = Math.max(0, (Long) value);
                 case RETRY -> decision.retry = (Boolean) value;
-                default -> throw new IllegalStateException("no output " + entry.getKey());
+                default -> throw new IllegalStateException("unexpected output " + entry.getKey());
             }
         }
     }
--- a/expression/src/test/java/ledgewall/rules/RuleTableTest.java
+++ b/expression/src/test/java/ledgewall/rules/RuleTableTest.java
@@ -81,9 +81,10 @@
 
     @Test
     void anyInvalidRuleRejectsTheWholeTable() {
-        RuleException type = assertThrows(RuleException.class, () -> table(rule("first", "true", "bay-status"),
+        RuleException typeError = assertThrows(RuleException.class, () -> table(rule("first", "true", "bay-status"),
             rule("unreachable", "false && (user == 'a' || size(user) == 'b')", "bay-status")));
-        assertTrue(type.show().startsWith("rule \"unreachable\", match:1:37: no '==' for int and string"), type.show());
+        assertTrue(typeError.detailedMessage().startsWith("rule \"unreachable\", match:1:37: no '==' for int and string"),
+            typeError.detailedMessage());
         assertTrue(assertThrows(RuleException.class, () -> table(rule("a", "true", "book-boy"))).getMessage()
             .contains("no class 'book-boy'; there are bay-status, book-bay, trip-history"));
         assertTrue(assertThrows(RuleException.class, () -> table(rule("a", "user", "book-bay"))).getMessage()
