--- a/router/src/main/java/ledgewall/net/AttemptOutcome.java
+++ b/router/src/main/java/ledgewall/net/AttemptOutcome.java
@@ -14,7 +14,7 @@
     BAD_STATEMENT(Result.ERROR),
     /** XX000, or any other code: the request may have been executed. */
     HOST_ERROR(Result.ERROR),
-    /** 53300: the member's queue is full, it is draining, has too many connections, or the request's time is over. */
+    /** 53300: the member's queue is full, it is draining, has too many connections, or the deadline of the request has passed. */
     TURNED_AWAY(Result.REJECTED),
     /** A probe's 57P03: the member is not ready. */
     NOT_READY(Result.REJECTED),
@@ -30,7 +30,7 @@
     GARBLED(Result.RESET),
     TIMED_OUT(Result.TIMED_OUT),
     GIVEN_UP(Result.CANCELLED),
-    /** The request had ended, or its time or number of attempts was used up, before anything was sent. */
+    /** The request had ended, or its deadline or number of attempts was reached, before anything was sent. */
     NEVER_SENT(Result.NEVER_SENT);
 
     private final Result result;
--- a/router/src/main/java/ledgewall/net/ClientConnection.java
+++ b/router/src/main/java/ledgewall/net/ClientConnection.java
@@ -39,7 +39,7 @@
     /** Invalid commands at which the connection ends: no ordinary client sends so many. */
     private static final int MAX_INVALID_COMMANDS = 8;
 
-    /** Who sends a request, as far as the connection tells. */
+    /** The client of a connection, as far as it is known; fields that are not known are empty. */
     record ClientIdentity(String user, String database, String address) { }
 
     /** Whether a new connection is admitted. */
@@ -131,8 +131,8 @@
     }
 
     @Override
-    public void opened(IoSession opened) {
-        session = opened;
+    public void opened(IoSession newSession) {
+        session = newSession;
         openedAt = context.loop().now();
         admission = requestHandler.admit(this);
         if (admission == Admission.CLOSED) {
@@ -220,9 +220,9 @@
     /** Suspends or resumes reading, depending on capacity. */
     private void updateReading() {
         updateBufferedBytes();
-        boolean reads = queuedCommands.isEmpty() && hasCapacity() && !closing && queuedReads.get() < MAX_QUEUED_READS;
-        if (!closed && reads == session.isReadSuspended()) {
-            if (reads) {
+        boolean shouldRead = queuedCommands.isEmpty() && hasCapacity() && !closing && queuedReads.get() < MAX_QUEUED_READS;
+        if (!closed && shouldRead == session.isReadSuspended()) {
+            if (shouldRead) {
                 session.resumeRead();
             } else {
                 session.suspendRead();
@@ -255,10 +255,10 @@
             respond(MessageWriter.error(SqlState.FEATURE_NOT_SUPPORTED, "the extended query protocol is not supported"));
         } else if (message instanceof ClientMessage.EmptyQuery && !skipsUntilSync) {
             respond(MessageWriter.join(MessageWriter.emptyQueryResponse(), MessageWriter.readyForQuery()));
-        } else if (message instanceof ClientMessage.Rejected unserved && !skipsUntilSync) {
-            rejectCommand(unserved.sqlState(), unserved.reason());
-        } else if (message instanceof ClientMessage.ProtocolViolation broken) {
-            closeWithError(broken.reason());
+        } else if (message instanceof ClientMessage.Rejected rejected && !skipsUntilSync) {
+            rejectCommand(rejected.sqlState(), rejected.reason());
+        } else if (message instanceof ClientMessage.ProtocolViolation violation) {
+            closeWithError(violation.reason());
         }
     }
 
--- a/router/src/main/java/ledgewall/net/DescriptorBudget.java
+++ b/router/src/main/java/ledgewall/net/DescriptorBudget.java
@@ -53,7 +53,7 @@
         return Math.max(1, descriptorLimit / SOFT_CLIENT_DIVISOR);
     }
 
-    /** The number of open sockets up to which connections are accepted; it includes sockets not counted as held yet or still. */
+    /** The number of open sockets up to which connections are accepted; includes sockets not yet or no longer counted as held. */
     int acceptLimit() {
         return maxConnections - reserve / 2;
     }
--- a/router/src/main/java/ledgewall/net/Discovery.java
+++ b/router/src/main/java/ledgewall/net/Discovery.java
@@ -36,11 +36,11 @@
     private long timerDueAt = Long.MAX_VALUE;
     private InetSocketAddress address;
 
-    Discovery(RouterContext context, RouterConfig config, Members members, MemberListWatcher.Checks pace) {
+    Discovery(RouterContext context, RouterConfig config, Members members, MemberListWatcher.Checks checks) {
         this.context = context;
         this.members = members;
         this.address = config.discovery();
-        this.watcher = new MemberListWatcher(address, config.knownList(), config.settings().subscribesToList(), pace,
+        this.watcher = new MemberListWatcher(address, config.knownList(), config.settings().subscribesToList(), checks,
             config.seed());
     }
 
@@ -80,8 +80,8 @@
                 connection.open();
             } else if (step instanceof MemberListWatcher.Close close) {
                 connections.remove(close.call()).close();
-            } else if (step instanceof MemberListWatcher.Apply learn) {
-                applyList(learn.update(), learn.call());
+            } else if (step instanceof MemberListWatcher.Apply apply) {
+                applyList(apply.update(), apply.call());
             } else if (step instanceof MemberListWatcher.FetchFailed) {
                 context.loop().postEvent(new RoutingPolicy.MemberList(ListKind.FAILED, List.of()));
             }
@@ -100,15 +100,15 @@
     }
 
     private void rescheduleTimer() {
-        long due = watcher.nextTickAt();
-        if (due == timerDueAt) {
+        long dueAt = watcher.nextTickAt();
+        if (dueAt == timerDueAt) {
             return;
         }
         if (timer != null) {
             timer.cancel();
         }
-        timerDueAt = due;
-        timer = due == Long.MAX_VALUE ? null : context.loop().runAt(due, () -> {
+        timerDueAt = dueAt;
+        timer = dueAt == Long.MAX_VALUE ? null : context.loop().runAt(dueAt, () -> {
             timerDueAt = Long.MAX_VALUE;
             execute(watcher.tick(now()));
         });
@@ -117,8 +117,8 @@
     /** The connection of one call to discovery. */
     private final class Connection implements Endpoint {
         private final MemberListWatcher.Call call;
-        private final ListStreamParser listReader = new ListStreamParser();
-        private final HttpResponseParser httpReader = new HttpResponseParser(listReader);
+        private final ListStreamParser listParser = new ListStreamParser();
+        private final HttpResponseParser httpParser = new HttpResponseParser(listParser);
         private ConnectFuture connectFuture;
         private IoSession session;
         private boolean closed;
@@ -135,8 +135,8 @@
         }
 
         @Override
-        public void opened(IoSession opened) {
-            session = opened;
+        public void opened(IoSession newSession) {
+            session = newSession;
             if (closed) {
                 session.closeNow();
                 return;
@@ -155,20 +155,20 @@
         public Runnable receive(ByteBuffer bytes, long at, IoSession from) {
             int byteCount = bytes.remaining();
             context.counters().add(Counters.Count.LIST_BYTES, byteCount);
-            boolean invalid = !parse(bytes) || httpReader.isComplete() && listReader.isPartial();
+            boolean invalid = !parse(bytes) || httpParser.isComplete() && listParser.isPartial();
             List<ListUpdate> updates = new ArrayList<>();
-            invalid |= !collectValid(listReader.takeUpdates(), updates);
+            invalid |= !collectValid(listParser.takeUpdates(), updates);
             boolean hasUpdate = !updates.isEmpty();
-            boolean answerPending = !httpReader.headersComplete() || listReader.isPartial();
+            boolean answerPending = !httpParser.headersComplete() || listParser.isPartial();
             boolean malformed = invalid;
-            boolean callOver = invalid || httpReader.isComplete();
-            return () -> deliver(updates, hasUpdate, answerPending, byteCount, malformed, callOver);
+            boolean callEnded = invalid || httpParser.isComplete();
+            return () -> deliver(updates, hasUpdate, answerPending, byteCount, malformed, callEnded);
         }
 
         /** Parses received bytes; returns false if they are malformed, and nothing after the fault is parsed. */
         private boolean parse(ByteBuffer bytes) {
             try {
-                httpReader.feed(bytes);
+                httpParser.feed(bytes);
                 return true;
             } catch (HttpException | FormatException e) {
                 LOG.debug("discovery: {}", e.getMessage()); // debug level and a counter: a faulty service may repeat it endlessly
@@ -191,7 +191,7 @@
         }
 
         private void deliver(List<ListUpdate> updates, boolean hasUpdate, boolean answerPending, int byteCount,
-                             boolean malformed, boolean callOver) {
+                             boolean malformed, boolean callEnded) {
             if (closed) {
                 return;
             }
@@ -202,7 +202,7 @@
             if (malformed) {
                 context.counters().add(Counters.Count.BAD_LISTS);
             }
-            if (callOver) {
+            if (callEnded) {
                 endCall();
             }
         }
--- a/router/src/main/java/ledgewall/net/DrainBeforeResetProcessor.java
+++ b/router/src/main/java/ledgewall/net/DrainBeforeResetProcessor.java
@@ -39,7 +39,7 @@
             if (buffer.position() == 0) {
                 throw e;
             }
-            return 0; // the next pass meets the reset again, without data before it
+            return 0; // the next pass encounters the reset again, without data before it
         }
     }
 
--- a/router/src/main/java/ledgewall/net/EventLoop.java
+++ b/router/src/main/java/ledgewall/net/EventLoop.java
@@ -112,7 +112,7 @@
         return timer;
     }
 
-    /** Schedules a task for so many nanoseconds after the start of the current turn. */
+    /** Schedules a task for the given number of nanoseconds after the start of the current turn. */
     Timer runAfter(long delayNanos, Runnable task) {
         return runAt(now + delayNanos, task);
     }
@@ -181,7 +181,7 @@
         }
     }
 
-    /** Removes cancelled timers once they are the greater part, so that those due far ahead don't hold memory until then. */
+    /** Removes cancelled timers once they are the majority, so that those due far ahead don't hold memory until then. */
     private void purgeCancelled() {
         if (cancelledInQueue > MIN_CANCELLED_TO_PURGE && cancelledInQueue > timers.size() / 2) {
             timers.removeIf(timer -> timer.task == null);
--- a/router/src/main/java/ledgewall/net/HostConnection.java
+++ b/router/src/main/java/ledgewall/net/HostConnection.java
@@ -69,8 +69,8 @@
     }
 
     @Override
-    public void opened(IoSession opened) {
-        session = opened;
+    public void opened(IoSession newSession) {
+        session = newSession;
         if (state == State.CLOSED) {
             session.closeNow(); // closed by the router while connecting
             return;
@@ -216,7 +216,7 @@
         }
     }
 
-    /** Closes the connection without notifying its exchange, which the caller has given up. */
+    /** Closes the connection without notifying its exchange, which the caller has abandoned. */
     void close() {
         if (state == State.CLOSED) {
             return;
--- a/router/src/main/java/ledgewall/net/Probe.java
+++ b/router/src/main/java/ledgewall/net/Probe.java
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public void ended(AttemptOutcome endedAs, Reply reply, long at) {
+    public void ended(AttemptOutcome exchangeOutcome, Reply reply, long at) {
         if (ended) {
             return;
         }
@@ -79,8 +79,8 @@
         if (timeoutTimer != null) {
             timeoutTimer.cancel();
         }
-        boolean notReady = endedAs == AttemptOutcome.HOST_ERROR && SqlState.CANNOT_CONNECT_NOW.equals(reply.sqlState());
-        AttemptOutcome outcome = notReady ? AttemptOutcome.NOT_READY : endedAs;
+        boolean notReady = exchangeOutcome == AttemptOutcome.HOST_ERROR && SqlState.CANNOT_CONNECT_NOW.equals(reply.sqlState());
+        AttemptOutcome outcome = notReady ? AttemptOutcome.NOT_READY : exchangeOutcome;
         RoutingPolicy.Report report = outcome == AttemptOutcome.SERVED && requestsReport ? parseReport(reply, at) : null;
         context.loop().postEvent(new ProbeResult(member, outcome.result(), Math.max(1, at - startedAt), report));
     }
--- a/router/src/main/java/ledgewall/net/RequestDispatcher.java
+++ b/router/src/main/java/ledgewall/net/RequestDispatcher.java
@@ -24,7 +24,7 @@
 final class RequestDispatcher implements ClientConnection.RequestHandler, Attempt.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
     /** One day: no client waits longer, and much larger values would overflow the clock's nanoseconds. */
-    private static final long MAX_WAIT_MILLIS = 24L * 3_600 * 1_000;
+    private static final long MAX_TIMEOUT_MILLIS = 24L * 3_600 * 1_000;
     /**
      * Idle time after which a client's connection may be evicted, the longest idle first, while clients hold more
      * connections than they may for requests: new clients arrive with a request, and would find no descriptor left. A busy
@@ -214,7 +214,7 @@
 
     private ClientRequest submit(Statement statement, ClientConnection.AnswerSlot slot, long receivedAt, Runnable onEnd) {
         context.counters().add(Counters.Count.REQUESTS);
-        long deadline = receivedAt + Clock.millisToNanos(Math.min(statement.timeoutMillis(), MAX_WAIT_MILLIS));
+        long deadline = receivedAt + Clock.millisToNanos(Math.min(statement.timeoutMillis(), MAX_TIMEOUT_MILLIS));
         ClientRequest request = new ClientRequest(++lastRequestNumber, statement, deadline, slot);
         request.onEnd(onEnd);
         int classIndex = classIndexes.getOrDefault(statement.className(), -1);
@@ -245,10 +245,10 @@
 
     private RoutingPolicy.Arrival arrivalOf(ClientRequest request, int classIndex) {
         Statement statement = request.statement();
-        Consistency need = settings.classes().get(classIndex).consistency();
-        boolean usesSession = need == Consistency.WRITE || need == Consistency.SESSION;
+        Consistency consistency = settings.classes().get(classIndex).consistency();
+        boolean usesSession = consistency == Consistency.WRITE || consistency == Consistency.SESSION;
         long writtenAt = Clock.ofUnixMillis(statement.lastWriteMillis());
-        boolean hasToken = need == Consistency.SESSION && settings.replication().requestsCarryTokens() && writtenAt != 0;
+        boolean hasToken = consistency == Consistency.SESSION && settings.replication().requestsCarryTokens() && writtenAt != 0;
         long now = context.loop().now();
         return new RoutingPolicy.Arrival(
             request.number(), classIndex, tenantIndex(statement.tenant()),
--- a/router/src/main/java/ledgewall/net/Router.java
+++ b/router/src/main/java/ledgewall/net/Router.java
@@ -42,7 +42,7 @@
     private final CountDownLatch closed = new CountDownLatch(1);
     private boolean draining;
 
-    private Router(RouterConfig config, RoutingPolicy.Factory factory, MemberListWatcher.Checks pace, Classifier classifier) {
+    private Router(RouterConfig config, RoutingPolicy.Factory factory, MemberListWatcher.Checks checks, Classifier classifier) {
         this.config = config;
         DescriptorBudget descriptors = new DescriptorBudget(config.descriptorLimit());
         this.transport = new Transport(clock, loop, counters, descriptors.acceptLimit());
@@ -51,7 +51,7 @@
             config.transport().connectTimeout());
         this.members = new Members(context, config.vocabulary());
         this.dispatcher = new RequestDispatcher(context, config, members, classifier);
-        this.discovery = new Discovery(context, config, members, pace);
+        this.discovery = new Discovery(context, config, members, checks);
         this.peers = new Peers(context, config);
         loop.setInputReader(transport::awaitPendingReads);
         transport.onAcceptBlocked(dispatcher::freeDescriptorForPendingClient);
@@ -68,9 +68,9 @@
         return start(config, factory, MemberListWatcher.Checks.DEFAULT, classifier);
     }
 
-    static Router start(RouterConfig config, RoutingPolicy.Factory factory, MemberListWatcher.Checks pace, Classifier classifier)
-            throws IOException {
-        Router router = new Router(config, factory, pace, classifier);
+    static Router start(RouterConfig config, RoutingPolicy.Factory factory, MemberListWatcher.Checks checks,
+                        Classifier classifier) throws IOException {
+        Router router = new Router(config, factory, checks, classifier);
         try {
             router.open();
             return router;
@@ -148,10 +148,10 @@
             disconnect(disconnect.member());
         } else if (action instanceof RoutingPolicy.Forget forget) {
             members.forget(forget.member());
-        } else if (action instanceof RoutingPolicy.SendToPeer tell) {
-            peers.send(tell);
-        } else if (action instanceof RoutingPolicy.LogMessage note) {
-            LOG.info("policy: {}", note.text());
+        } else if (action instanceof RoutingPolicy.SendToPeer peerMessage) {
+            peers.send(peerMessage);
+        } else if (action instanceof RoutingPolicy.LogMessage logMessage) {
+            LOG.info("policy: {}", logMessage.text());
         } else {
             throw new IllegalStateException("unhandled action: " + action);
         }
--- a/router/src/main/java/ledgewall/net/Transport.java
+++ b/router/src/main/java/ledgewall/net/Transport.java
@@ -34,7 +34,7 @@
         task -> new Thread(task, "ledgewall-io"));
     private final DrainBeforeResetProcessor processor = new DrainBeforeResetProcessor(ioExecutor);
     private final NioSocketConnector connector = new NioSocketConnector(processor);
-    /** Sockets that are open, including those that the event loop does not know yet or has already given up. */
+    /** Sockets that are open, including those that the event loop does not track yet or no longer tracks. */
     private final AtomicInteger openSockets = new AtomicInteger();
     private final BackpressureAcceptor acceptor;
     /** Whether {@link #acceptBlockedTask} is queued for the event loop and has not run yet. */
--- a/router/src/main/java/ledgewall/net/WarmUp.java
+++ b/router/src/main/java/ledgewall/net/WarmUp.java
@@ -98,16 +98,16 @@
 
     private void addArrival(int classIndex) throws ProtocolException {
         RoutingPolicy.RequestClass requestClass = config.settings().classes().get(classIndex);
-        long waitMillis = Clock.nanosToMillis(requestClass.timeout());
+        long timeoutMillis = Clock.nanosToMillis(requestClass.timeout());
         byte[] query = MessageWriter.query("/* id=" + Long.toHexString(now + lastRequestNumber) + ",c="
-            + config.vocabulary().classes().get(classIndex) + ",t=rehearsal,d=" + waitMillis + ",cluster=0 */ "
+            + config.vocabulary().classes().get(classIndex) + ",t=rehearsal,d=" + timeoutMillis + ",cluster=0 */ "
             + "INSERT INTO facts (code, data) VALUES ('" + Long.toHexString(lastRequestNumber) + "', '\\x00') RETURNING data");
         List<Frame> frames = new ArrayList<>();
         FrameReader reader = FrameReader.ofClient(query.length);
         reader.feed(ByteBuffer.wrap(MessageWriter.startup("rehearsal", "rehearsal")), frame -> { });
         reader.feed(ByteBuffer.wrap(query), frames::add);
         Statement statement = ((ClientMessage.Query) ClientMessage.parse(frames.get(0))).statement();
-        statement.withTimeout(waitMillis);
+        statement.withTimeout(timeoutMillis);
         nextEvents.add(new RoutingPolicy.Arrival(++lastRequestNumber, classIndex, 0, 0, statement.sessionKey(),
             requestClass.timeout(), RoutingPolicy.NONE, statement.isRetry()));
     }
