--- a/router/src/test/java/ledgewall/discovery/MemberListWatcherTest.java
+++ b/router/src/test/java/ledgewall/discovery/MemberListWatcherTest.java
@@ -270,12 +270,12 @@
     void watchWithHeartbeatsButNoChangesIsReplacedAfterTheNextCheck() {
         startWatcher(Checks.DEFAULT, false);
         run(1_500 * NANOS_PER_MILLI);
-        MemberListWatcher.Call stuck = connections.keySet().stream().filter(c -> c.purpose() == Purpose.WATCH).findFirst()
+        MemberListWatcher.Call watch = connections.keySet().stream().filter(c -> c.purpose() == Purpose.WATCH).findFirst()
             .orElseThrow();
         behaviors.put(FIRST_ADDRESS, Behavior.NO_CHANGES);
         assertDrainAppliedWithin("a", 1_000 * NANOS_PER_MILLI);
         run(1_100 * NANOS_PER_MILLI);
-        assertFalse(connections.containsKey(stuck));
+        assertFalse(connections.containsKey(watch));
         assertEquals(1, openWatches());
     }
 
--- a/router/src/test/java/ledgewall/fleet/FaultSoakTest.java
+++ b/router/src/test/java/ledgewall/fleet/FaultSoakTest.java
@@ -78,11 +78,11 @@
         try {
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LOAD_SECONDS);
             while (System.nanoTime() < end) {
-                StubHosts hostFarm = random.nextBoolean() ? primaries : replicas;
+                StubHosts affectedHosts = random.nextBoolean() ? primaries : replicas;
                 switch (random.nextInt(7)) {
-                    case 0 -> hostFarm.behavior(StubHosts.Behavior.UNRESPONSIVE);
-                    case 1 -> hostFarm.behavior(StubHosts.Behavior.RESETTING);
-                    case 2 -> hostFarm.behavior(StubHosts.Behavior.REFUSING);
+                    case 0 -> affectedHosts.behavior(StubHosts.Behavior.UNRESPONSIVE);
+                    case 1 -> affectedHosts.behavior(StubHosts.Behavior.RESETTING);
+                    case 2 -> affectedHosts.behavior(StubHosts.Behavior.REFUSING);
                     case 3 -> discovery.publish(restartedReplicaEntries(random, replicas, hosts));
                     case 4 -> discovery.publish(failoverEntries(random, primaries, replicas, hosts));
                     case 5 -> openIdleClients(router, idleClients);
@@ -90,7 +90,7 @@
                 }
                 TimeUnit.MILLISECONDS.sleep(200 + random.nextInt(600));
                 if (random.nextBoolean()) {
-                    hostFarm.behavior(StubHosts.Behavior.HEALTHY);
+                    affectedHosts.behavior(StubHosts.Behavior.HEALTHY);
                 }
             }
             for (Client client : idleClients) {
--- a/router/src/test/java/ledgewall/fleet/FleetSizeTest.java
+++ b/router/src/test/java/ledgewall/fleet/FleetSizeTest.java
@@ -39,7 +39,7 @@
 
     /** The size of a fleet, the limit for the sockets of its router, the load, and the behavior of its hosts. */
     private record Scenario(int hosts, int sockets, int requestsPerSecond, int seconds, boolean hasPeers,
-                            StubHosts.Behavior mood) { }
+                            StubHosts.Behavior behavior) { }
 
     @BeforeAll
     static void measureBothSizes() throws IOException, InterruptedException {
@@ -52,8 +52,8 @@
     private static Measurement measure(Scenario scenario) throws IOException, InterruptedException {
         try (StubHosts primaries = new StubHosts(true); StubHosts replicas = new StubHosts(false);
                 PeerRouters peers = new PeerRouters(FleetConfig.ROUTERS, FleetConfig.RANK)) {
-            primaries.behavior(scenario.mood());
-            replicas.behavior(scenario.mood());
+            primaries.behavior(scenario.behavior());
+            replicas.behavior(scenario.behavior());
             List<String> entries = new ArrayList<>();
             for (int i = 0; i < scenario.hosts(); i++) {
                 entries.add(FleetConfig.entry(i, (FleetConfig.isPrimary(i) ? primaries : replicas).address(), 0));
--- a/router/src/test/java/ledgewall/fleet/LoadGenerator.java
+++ b/router/src/test/java/ledgewall/fleet/LoadGenerator.java
@@ -21,7 +21,7 @@
     /** How long a client waits for the final answer after its request's deadline. */
     private static final long FINAL_ANSWER_GRACE_MS = 550;
     private static final int MAX_IDLE_CONNECTIONS = 16;
-    /** Time between requests in {@link #runUntilClosed}, and between two looks at the requests in flight. */
+    /** Time between requests in {@link #runUntilClosed}, and between checks for requests in flight. */
     private static final int INTERVAL_MS = 10;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
--- a/router/src/test/java/ledgewall/net/AttemptOutcomeTest.java
+++ b/router/src/test/java/ledgewall/net/AttemptOutcomeTest.java
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void connectionWithoutAGreetingIsNotConnected() throws IOException, InterruptedException {
+    void connectionWithoutAStartupReplyIsNotConnected() throws IOException, InterruptedException {
         harness.connectTimeoutMs(50).host("m", new StubServer(StubServer.Connection::awaitClose));
         assertEquals(Result.NOT_CONNECTED, outcome(harness, 0).result());
         assertEquals(1, harness.router().counts().of(AttemptOutcome.CONNECT_TIMED_OUT));
@@ -140,7 +140,7 @@
 
     @ParameterizedTest
     @CsvSource({"53300,REJECTED", "57P03,NOT_CONNECTED", "28000,NOT_CONNECTED"})
-    void errorInsteadOfAGreetingDeterminesTheResult(String code, Result result) throws IOException, InterruptedException {
+    void errorInsteadOfAStartupReplyDeterminesTheResult(String code, Result result) throws IOException, InterruptedException {
         assertEquals(result, outcome(new StubServer(connection -> {
             Message.read(connection.in(), false);
             connection.write(Wire.error(code));
@@ -414,7 +414,7 @@
     }
 
     @Test
-    void idleConnectionsAreReusedAfterTheirRest() throws IOException, InterruptedException {
+    void idleConnectionsAreReusedAfterTheSettlingTime() throws IOException, InterruptedException {
         BlockingQueue<Integer> used = new LinkedBlockingQueue<>();
         CountDownLatch bothReceived = new CountDownLatch(2);
         StubServer host = StubServer.host((connection, sql) -> {
@@ -423,7 +423,7 @@
                 bothReceived.countDown();
                 await(bothReceived);
             } else {
-                java.util.concurrent.locks.LockSupport.parkNanos(20 * RouterHarness.MS); // longer than a connection rests
+                java.util.concurrent.locks.LockSupport.parkNanos(20 * RouterHarness.MS); // longer than the settling time
             }
             connection.write(Wire.row(VALUE), Wire.ready());
         });
--- a/router/src/test/java/ledgewall/net/ClientConnectionTest.java
+++ b/router/src/test/java/ledgewall/net/ClientConnectionTest.java
@@ -59,9 +59,9 @@
         startEcho();
         Client client = harness.rawClient();
         client.send(Wire.startup("user", "portal", "database", "crm"), Wire.query(""));
-        String welcome = client.readTypesUntilReady();
-        assertEquals('R', welcome.charAt(0));
-        assertTrue(welcome.endsWith("K"));
+        String startupReply = client.readTypesUntilReady();
+        assertEquals('R', startupReply.charAt(0));
+        assertTrue(startupReply.endsWith("K"));
         assertEquals("I", client.readTypesUntilReady());
     }
 
--- a/router/src/test/java/ledgewall/net/HostReportsTest.java
+++ b/router/src/test/java/ledgewall/net/HostReportsTest.java
@@ -17,7 +17,7 @@
 class HostReportsTest {
     private static final long NOW_NANOS = 1_796_133_714_000_000_000L;
 
-    /** When read as milliseconds, a replica's position was in 1970 and no bounded read was ever sent to a replica. */
+    /** Guards against reading the position as milliseconds: it was then in 1970, and no bounded read was sent to a replica. */
     @Test
     void reportPositionIsInUnixSeconds() {
         Report report = HostReports.report("x0=1796133713.021,x1=0", NOW_NANOS);
--- a/router/src/test/java/ledgewall/net/RouterHarness.java
+++ b/router/src/test/java/ledgewall/net/RouterHarness.java
@@ -30,7 +30,7 @@
     private String listen = "127.0.0.1:0";
     private boolean parallelAttempts = true;
     /** Without checks by default: scripts of discovery rely on the order of its requests. */
-    private MemberListWatcher.Checks pace = MemberListWatcher.Checks.DISABLED;
+    private MemberListWatcher.Checks listChecks = MemberListWatcher.Checks.DISABLED;
     private Classifier classifier;
     private Router router;
 
@@ -85,7 +85,7 @@
     }
 
     RouterHarness withListChecks() {
-        pace = MemberListWatcher.Checks.DEFAULT;
+        listChecks = MemberListWatcher.Checks.DEFAULT;
         return this;
     }
 
@@ -132,7 +132,7 @@
 
     Router start(RoutingPolicy policy) throws IOException {
         RouterConfig config = RouterConfig.parse(config().getBytes(StandardCharsets.UTF_8), "config");
-        router = Router.start(config, (settings, seed) -> policy, pace, classifier);
+        router = Router.start(config, (settings, seed) -> policy, listChecks, classifier);
         closeables.add(0, router::close);
         return router;
     }
