--- a/core/src/main/java/ledgewall/Member.java
+++ b/core/src/main/java/ledgewall/Member.java
@@ -47,7 +47,7 @@
     long connectionFailedAt = Long.MIN_VALUE;
     /** When it was reachable again after a time that a restart explains. */
     long restartDetectedAt = LONG_AGO;
-    /** Since when it is suspected for its silence, or {@link RoutingPolicy#NONE}. */
+    /** Since when it is suspected because it does not answer, or {@link RoutingPolicy#NONE}. */
     long suspectSince = RoutingPolicy.NONE;
     /** When a request was last sent to it on trial while it was suspected or unreachable. */
     long lastTrialAt = Long.MIN_VALUE;
--- a/core/src/main/java/ledgewall/ProbeScheduler.java
+++ b/core/src/main/java/ledgewall/ProbeScheduler.java
@@ -25,7 +25,7 @@
     private static final long MAX_URGENT_PROBE_GAP = 2 * SECOND;
     /** How often that gap may double. */
     private static final int MAX_GAP_DOUBLINGS = 8;
-    /** The nanoseconds that a member has to tell its role before the next member of its group is probed as well. */
+    /** The time in nanoseconds that a member has to report its role before the next member of its group is probed as well. */
     private static final long SEARCH_HEDGE_DELAY = 30 * MS;
     /** How often the gap between search probes of one member doubles. */
     private static final int MAX_SEARCH_GAP_DOUBLINGS = 2;
--- a/core/src/main/java/ledgewall/ReplicaRoutingPolicy.java
+++ b/core/src/main/java/ledgewall/ReplicaRoutingPolicy.java
@@ -26,7 +26,7 @@
 
     /** Differences of round trips below this part of a read's mean latency make no noticeable difference to its client. */
     private static final double ROUND_TRIP_MARGIN = 0.125;
-    /** A member whose expected delay is over this multiple of the best one's is crowded or slow, beyond random variation. */
+    /** A member whose expected delay is over this multiple of the best one's is overloaded or slow, beyond random variation. */
     private static final double MAX_DELAY_RATIO = 1.5;
     /** A member contacted within this time probably still has an idle connection: hosts keep them about that long. */
     private static final long CONNECTION_IDLE_TIME = 20 * SECOND;
@@ -79,7 +79,7 @@
     /** Moving average of the latency of each request class, in nanoseconds. */
     private final double[] meanLatency;
     private double sumOfMeanLatencies;
-    /** The time left of the last first try of each request class, in nanoseconds. */
+    /** The time left, in nanoseconds, of the last request of each class that was not a retry. */
     private final long[] firstTryTimeLeft;
     private final Map<String, Member> members = new LinkedHashMap<>();
     private final Map<Long, Group> groups = new LinkedHashMap<>();
@@ -90,7 +90,7 @@
     /** Members that are gone, until they have no attempt or probe in flight. */
     private final Set<Member> goneMembers = new LinkedHashSet<>();
     private final Set<Group> groupsWithQueue = new LinkedHashSet<>();
-    /** Groups about which an event of this call told something, so that their queued requests are routed again. */
+    /** Groups on which an event of this call gave new information: their queued requests are routed again. */
     private final Set<Group> groupsToResume = new LinkedHashSet<>();
     private final Freshness freshness;
     private final SlowStart slowStart;
@@ -193,7 +193,7 @@
         int index = arrival.requestClass();
         RequestClass requestClass = settings.classes().get(index);
         long deadline = Math.max(now, now + arrival.timeLeft() - 2 * tickInterval);
-        // A retry whose time left differs from that of first tries has the rest of the class's timeout, which tells when its
+        // A retry whose time left differs from that of first tries has the rest of the class's timeout, which shows when its
         // client first sent it. If late answers have no value, no attempt starts after the latency target; one in flight may
         // still answer.
         firstTryTimeLeft[index] = arrival.retry() ? firstTryTimeLeft[index] : arrival.timeLeft();
@@ -509,7 +509,7 @@
     }
 
     /**
-     * Whether a replica is being probed for its position, on behalf of this read or another, and may still tell it in time:
+     * Whether a replica is being probed for its position, on behalf of this read or another, and may still report it in time:
      * many routers cannot keep all positions up to date, and without positions all such reads would load the primaries.
      */
     private boolean waitsForPosition(Request request) {
--- a/core/src/main/java/ledgewall/Request.java
+++ b/core/src/main/java/ledgewall/Request.java
@@ -22,7 +22,7 @@
     final List<Attempt> attempts = new ArrayList<>();
     /** The attempt in flight, or null. */
     Attempt currentAttempt;
-    /** The first attempt that ended without telling whether it was executed, or null. */
+    /** The first attempt that ended without evidence of whether it was executed, or null. */
     Attempt possiblyExecuted;
     /** The replica that was probed for its position on behalf of this read, or null. */
     Member probedReplica;
--- a/core/src/main/java/ledgewall/RoutingPolicy.java
+++ b/core/src/main/java/ledgewall/RoutingPolicy.java
@@ -59,7 +59,7 @@
     enum Result { OK, ERROR, REJECTED, TIMED_OUT, NOT_CONNECTED, RESET, CANCELLED, NEVER_SENT, MISDIRECTED }
 
     /**
-     * Everything that a router is told at its start.
+     * The settings that a router receives at its start.
      *
      * @param routerCount the number of routers that share the members
      * @param rank the number of this router among them, from 0
@@ -110,7 +110,7 @@
      *
      * @param catchUpWait how long a member that {@link StaleReadHandling#WAITS} does so, in nanoseconds
      * @param answersReportPosition whether answers carry the member's position
-     * @param requestsCarryTokens whether requests tell the time of their session's last write; else the router remembers it
+     * @param requestsCarryTokens whether requests carry the time of their session's last write; else the router remembers it
      * @param probesReportPosition whether answers to probes carry the member's position
      * @param probesReportRole whether answers to probes carry the member's role
      */
--- a/core/src/main/java/ledgewall/settings/Fields.java
+++ b/core/src/main/java/ledgewall/settings/Fields.java
@@ -11,7 +11,7 @@
 /**
  * A JSON object with checked access: null counts as absent, and the error for a missing or wrongly typed value names it.
  *
- * @param location where the object stands in its input, for error messages
+ * @param location the place of the object in its input, for error messages
  */
 public record Fields(String location, Map<String, Object> values) {
 
--- a/core/src/main/java/ledgewall/settings/FormatException.java
+++ b/core/src/main/java/ledgewall/settings/FormatException.java
@@ -1,6 +1,6 @@
 package ledgewall.settings;
 
-/** Signals input that does not have its format; the message tells what is wrong and where. */
+/** Thrown for input that does not have the expected format; the message says what is wrong and where. */
 public final class FormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/core/src/main/java/ledgewall/settings/SettingsReader.java
+++ b/core/src/main/java/ledgewall/settings/SettingsReader.java
@@ -13,36 +13,36 @@
 
     /** Reads the policy's settings from the object that a simulator's first message or a router's configuration holds. */
     public static RoutingPolicy.Settings settings(Fields root) {
-        Fields ceilings = root.object("ceilings");
-        Fields domain = root.object("domain");
-        Fields rules = root.object("rules");
+        Fields limits = root.object("ceilings");
+        Fields replication = root.object("domain");
+        Fields constraints = root.object("rules");
         return new RoutingPolicy.Settings(
             (int) root.integer("peersTotal", 1), (int) root.integer("rank", 0), (int) root.integer("zone", 0),
             root.integer("tickNs", NANOS_PER_MILLI), "ask".equals(root.text("discovery", "push")),
-            classes(root, domain), tenants(root), root.decimal("overShareWorth", 1),
+            classes(root, replication), tenants(root), root.decimal("overShareWorth", 1),
             new RoutingPolicy.Limits(
-                (int) ceilings.integer("maxAttempts", 1), ceilings.flag("parallelTries", false),
-                ceilings.flag("cancel", false), ceilings.flag("probing", false), ceilings.flag("peers", false),
-                ceilings.flag("retryAfter", false), ceilings.integer("maxRetryAfterNs", 0),
-                ceilings.integer("connectTimeoutNs", 0), (int) ceilings.integer("maxOpen", Integer.MAX_VALUE)),
-            replication(root, domain),
+                (int) limits.integer("maxAttempts", 1), limits.flag("parallelTries", false),
+                limits.flag("cancel", false), limits.flag("probing", false), limits.flag("peers", false),
+                limits.flag("retryAfter", false), limits.integer("maxRetryAfterNs", 0),
+                limits.integer("connectTimeoutNs", 0), (int) limits.integer("maxOpen", Integer.MAX_VALUE)),
+            replication(root, replication),
             new RoutingPolicy.Constraints(
-                rules.integer("answerSlackNs", 0), rules.integer("askWithinNs", 0),
-                rules.integer("stopSendingWithinNs", 0), rules.flag("drainBindsAlone", false),
-                rules.decimal("coldShare", 1), rules.integer("warmAfterNs", 0),
-                rules.decimal("overloadFactor", 1), rules.integer("fallNs", 0)));
+                constraints.integer("answerSlackNs", 0), constraints.integer("askWithinNs", 0),
+                constraints.integer("stopSendingWithinNs", 0), constraints.flag("drainBindsAlone", false),
+                constraints.decimal("coldShare", 1), constraints.integer("warmAfterNs", 0),
+                constraints.decimal("overloadFactor", 1), constraints.integer("fallNs", 0)));
     }
 
-    private static List<RoutingPolicy.RequestClass> classes(Fields root, Fields domain) {
-        List<?> needs = domain.elements("needsByClass");
-        List<?> bounds = domain.elements("stalenessBoundNs");
+    private static List<RoutingPolicy.RequestClass> classes(Fields root, Fields replication) {
+        List<?> consistencies = replication.elements("needsByClass");
+        List<?> stalenessBounds = replication.elements("stalenessBoundNs");
         List<RoutingPolicy.RequestClass> classes = new ArrayList<>();
         for (Fields entry : root.objects("classes")) {
             int index = classes.size();
-            Object need = index < needs.size() ? needs.get(index) : null;
-            Object bound = index < bounds.size() ? bounds.get(index) : null;
+            Object consistency = index < consistencies.size() ? consistencies.get(index) : null;
+            Object stalenessBound = index < stalenessBounds.size() ? stalenessBounds.get(index) : null;
             classes.add(new RoutingPolicy.RequestClass(
-                consistency(entry.location(), need), bound instanceof Number number ? number.longValue() : 0,
+                consistency(entry.location(), consistency), stalenessBound instanceof Number number ? number.longValue() : 0,
                 retrySafety(entry), deduplicationScope(entry), entry.integer("windowNs", 0), entry.integer("aimNs"),
                 entry.integer("deadlineNs"), entry.decimal("points", 1), entry.decimal("lateValue", 0),
                 entry.flag("stream", false)));
@@ -89,24 +89,24 @@
             .toList();
     }
 
-    private static RoutingPolicy.ReplicationSettings replication(Fields root, Fields domain) {
+    private static RoutingPolicy.ReplicationSettings replication(Fields root, Fields replication) {
         Fields report = root.object("report");
         boolean hasReports = !"none".equals(report.text("how", "none"));
-        List<?> fields = report.elements("fields");
-        RoutingPolicy.StaleReadHandling staleReadHandling = switch (domain.text("behind", "none")) {
+        List<?> reportedFields = report.elements("fields");
+        RoutingPolicy.StaleReadHandling staleReadHandling = switch (replication.text("behind", "none")) {
             case "refuse" -> RoutingPolicy.StaleReadHandling.REFUSES;
             case "wait" -> RoutingPolicy.StaleReadHandling.WAITS;
             default -> RoutingPolicy.StaleReadHandling.SERVES;
         };
-        RoutingPolicy.ListedRoleTiming listedRoleTiming = switch (domain.text("roleListed", "none")) {
+        RoutingPolicy.ListedRoleTiming listedRoleTiming = switch (replication.text("roleListed", "none")) {
             case "late" -> RoutingPolicy.ListedRoleTiming.DELAYED;
             case "start" -> RoutingPolicy.ListedRoleTiming.AT_START;
             default -> RoutingPolicy.ListedRoleTiming.NEVER;
         };
         return new RoutingPolicy.ReplicationSettings(
-            staleReadHandling, domain.integer("catchUpWaitNs", 0), domain.flag("positions", false),
-            "carried".equals(domain.text("tokens", "remembered")), listedRoleTiming,
-            hasReports && fields.contains("x0"), hasReports && fields.contains("x1"));
+            staleReadHandling, replication.integer("catchUpWaitNs", 0), replication.flag("positions", false),
+            "carried".equals(replication.text("tokens", "remembered")), listedRoleTiming,
+            hasReports && reportedFields.contains("x0"), hasReports && reportedFields.contains("x1"));
     }
 
     /** Reads the names that a protocol uses in place of the indexes of the settings. */
@@ -117,10 +117,10 @@
 
     /** Reads the limits that the transport applies. */
     public static TransportLimits transportLimits(Fields root) {
-        Fields ceilings = root.object("ceilings");
+        Fields limits = root.object("ceilings");
         Fields report = root.object("report");
         return new TransportLimits(
-            ceilings.integer("connIdleNs", 0), ceilings.integer("connectTimeoutNs", 0),
+            limits.integer("connIdleNs", 0), limits.integer("connectTimeoutNs", 0),
             root.object("rules").integer("answerSlackNs", 0),
             root.objects("classes").stream().mapToLong(entry -> entry.integer("deadlineNs")).max().orElse(0),
             !"none".equals(report.text("how", "none")));
--- a/router/src/main/java/ledgewall/discovery/MemberListWatcher.java
+++ b/router/src/main/java/ledgewall/discovery/MemberListWatcher.java
@@ -12,8 +12,9 @@
 /**
  * Decides how the member list is followed. A watch delivers each change as it happens; a short check every second asks for
  * changes since the known revision, so that a single failing connection cannot hide a change. This class does no I/O and
- * reads no clock: it is told what arrived and when, and returns the steps to carry out, in order. All times are nanoseconds
- * on one monotonic clock. docs/architecture.md lists the ways in which a change can be missed and how long each one lasts.
+ * reads no clock: callers pass in what arrived and when, and it returns the steps to carry out, in order. All times are
+ * nanoseconds on one monotonic clock. docs/architecture.md lists the ways in which a change can be missed and how long each
+ * one lasts.
  */
 public final class MemberListWatcher {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -72,7 +73,7 @@
     public static final class Call {
         private final Purpose purpose;
         private final InetSocketAddress address;
-        /** The revision asked from or, later, the newest one received on this call. */
+        /** The revision from which changes are requested or, later, the newest one received on this call. */
         private long lastRevision;
         private long lastByteAt;
         /** Since when the answer has been incomplete without progress; {@link #NEVER} while nothing is outstanding. */
@@ -135,7 +136,7 @@
     private final Checks checks;
     private final SplittableRandom random;
     /** Open calls: a watch, the previous one after a change of address, checks of up to a second each, and fetches. */
-    private final Set<Call> open = new HashSet<>();
+    private final Set<Call> openCalls = new HashSet<>();
     /** Newest entry of each listed member; entries that are gone are removed, so it is as large as the newest list. */
     private final Map<String, Member> knownMembers = new HashMap<>();
     private List<Step> steps = new ArrayList<>();
@@ -203,7 +204,7 @@
         }
         address = newAddress;
         backoffNs = MIN_BACKOFF_NS;
-        List.copyOf(open).stream().filter(call -> call != watch).forEach(this::closeCall);
+        List.copyOf(openCalls).stream().filter(call -> call != watch).forEach(this::closeCall);
         boolean watching = watch != null || nextWatchAt != NEVER || !onDemand;
         previousWatch = watch;
         previousWatchEndsAt = now + ADDRESS_CHANGE_TIMEOUT_NS;
@@ -223,7 +224,7 @@
      * @param bytes how many have arrived
      */
     public List<Step> onBytes(Call call, boolean listCompleted, boolean incomplete, int bytes, long now) {
-        if (open.contains(call)) {
+        if (openCalls.contains(call)) {
             call.lastByteAt = now;
             call.bytesSinceProgress += bytes;
             boolean progress = listCompleted || call.bytesSinceProgress >= MIN_PROGRESS_BYTES;
@@ -235,7 +236,7 @@
 
     /** Handles a list or a set of changes that a call has received. It is not called for empty lines. */
     public List<Step> onUpdate(Call call, ListUpdate update, long now) {
-        if (!open.contains(call)) {
+        if (!openCalls.contains(call)) {
             return takeSteps();
         }
         call.answered = true;
@@ -250,7 +251,7 @@
         } else if (call.purpose != Purpose.FULL_LIST) { // a request for the full list is not answered by changes
             handleChanges(call, update, wentBack, now);
         }
-        if (call.purpose != Purpose.WATCH && open.contains(call)) {
+        if (call.purpose != Purpose.WATCH && openCalls.contains(call)) {
             endCall(call, now);
         }
         return takeSteps();
@@ -258,7 +259,7 @@
 
     /** Handles a call whose connection was closed, could not be opened, or carried data that cannot be parsed. */
     public List<Step> onClosed(Call call, long now) {
-        if (open.contains(call)) {
+        if (openCalls.contains(call)) {
             endCall(call, now);
         }
         return takeSteps();
@@ -266,8 +267,8 @@
 
     /** Ends the calls that have timed out, and opens the watch and the check that are due. */
     public List<Step> tick(long now) {
-        for (Call call : List.copyOf(open)) {
-            if (open.contains(call) && (call.timeoutAt() <= now || call == previousWatch && previousWatchEndsAt <= now)) {
+        for (Call call : List.copyOf(openCalls)) {
+            if (openCalls.contains(call) && (call.timeoutAt() <= now || call == previousWatch && previousWatchEndsAt <= now)) {
                 endCall(call, now);
             }
         }
@@ -283,7 +284,7 @@
     /** The time at which {@link #tick} must be called next. */
     public long nextTickAt() {
         long due = Math.min(Math.min(nextWatchAt, nextCheckAt), previousWatch == null ? NEVER : previousWatchEndsAt);
-        for (Call call : open) {
+        for (Call call : openCalls) {
             due = Math.min(due, call.timeoutAt());
         }
         return due;
@@ -310,7 +311,7 @@
     /** Requests the full list because the revision went back: discovery has restarted, so changes alone are not enough. */
     private void startResync(long now) {
         resyncing = true;
-        List.copyOf(open).stream().filter(call -> call.purpose != Purpose.FETCH).forEach(this::closeCall);
+        List.copyOf(openCalls).stream().filter(call -> call.purpose != Purpose.FETCH).forEach(this::closeCall);
         if (now >= lastResyncAt + MAX_BACKOFF_NS) {
             openWatch(now);
         } else {
@@ -421,13 +422,13 @@
 
     private Call openCall(Purpose purpose, long now) {
         Call call = new Call(purpose, address, revision, now);
-        open.add(call);
+        openCalls.add(call);
         steps.add(new Open(call));
         return call;
     }
 
     private void closeCall(Call call) {
-        if (open.remove(call)) {
+        if (openCalls.remove(call)) {
             steps.add(new Close(call));
         }
         watch = call == watch ? null : watch;
--- a/router/src/main/java/ledgewall/simhost/Codec.java
+++ b/router/src/main/java/ledgewall/simhost/Codec.java
@@ -14,7 +14,7 @@
 final class Codec {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final double NANOS_PER_SECOND = 1e9;
-    /** Values of the two low bits of {@code mark}, which tell the role of the answering member. */
+    /** Values of the two low bits of {@code mark}, which hold the role of the answering member. */
     private static final int ROLE_PRIMARY = 1;
     private static final int ROLE_REPLICA = 2;
 
@@ -52,10 +52,10 @@
      * Converts a message to an event.
      *
      * @param originNs the time in nanoseconds that position 0 in the simulator's messages stands for
-     * @return null if the kind of message is unknown
+     * @return null if the type of message is unknown
      */
-    static Event event(String what, Fields message, long originNs) {
-        return switch (what) {
+    static Event event(String type, Fields message, long originNs) {
+        return switch (type) {
             case "ask" -> new RoutingPolicy.Arrival(
                 message.integer("ticket"), (int) message.integer("lane"), (int) message.integer("party", 0),
                 message.integer("dbNo"), message.integer("session", RoutingPolicy.NONE),
@@ -136,58 +136,58 @@
     }
 
     /** Writes an action as a JSON object. */
-    static void write(JsonGenerator out, int instance, Action action) throws IOException {
+    static void write(JsonGenerator out, int instanceId, Action action) throws IOException {
         out.writeStartObject();
         if (action instanceof RoutingPolicy.Send send) {
-            writeHeader(out, "place", instance);
+            writeHeader(out, "place", instanceId);
             out.writeNumberField("ticket", send.request());
             out.writeNumberField("giveUpAfterNs", send.timeout());
             out.writeStringField("host", send.member());
         } else if (action instanceof RoutingPolicy.Refuse refuse) {
-            writeHeader(out, "overloadReply", instance);
+            writeHeader(out, "overloadReply", instanceId);
             out.writeNumberField("ticket", refuse.request());
             out.writeNumberField("pauseNs", refuse.retryAfter());
         } else if (action instanceof RoutingPolicy.Fail fail) {
-            writeHeader(out, "reportFailure", instance);
+            writeHeader(out, "reportFailure", instanceId);
             out.writeNumberField("ticket", fail.request());
         } else if (action instanceof RoutingPolicy.Cancel cancel) {
-            writeHeader(out, "dropAttempt", instance);
+            writeHeader(out, "dropAttempt", instanceId);
             out.writeNumberField("ticket", cancel.request());
             out.writeNumberField("leg", cancel.attempt());
         } else if (action instanceof RoutingPolicy.Probe probe) {
-            writeHeader(out, "poll", instance);
+            writeHeader(out, "poll", instanceId);
             out.writeStringField("host", probe.member());
         } else if (action instanceof RoutingPolicy.SetTimer timer) {
-            writeHeader(out, "after", instance);
+            writeHeader(out, "after", instanceId);
             out.writeNumberField("whenNs", timer.at());
             out.writeNumberField("handle", timer.handle());
         } else if (action instanceof RoutingPolicy.Subscribe) {
-            writeHeader(out, "keepInformed", instance);
+            writeHeader(out, "keepInformed", instanceId);
             out.writeBooleanField("active", true);
         } else if (action instanceof RoutingPolicy.FetchList) {
-            writeHeader(out, "getList", instance);
+            writeHeader(out, "getList", instanceId);
         } else if (action instanceof RoutingPolicy.Disconnect disconnect) {
-            writeHeader(out, "dropConns", instance);
+            writeHeader(out, "dropConns", instanceId);
             out.writeStringField("host", disconnect.member());
-        } else if (action instanceof RoutingPolicy.SendToPeer tell) {
-            writeHeader(out, "notify", instance);
-            if (tell.peer() == RoutingPolicy.NONE) {
+        } else if (action instanceof RoutingPolicy.SendToPeer message) {
+            writeHeader(out, "notify", instanceId);
+            if (message.peer() == RoutingPolicy.NONE) {
                 out.writeStringField("whom", "*");
             } else {
-                out.writeNumberField("whom", tell.peer());
+                out.writeNumberField("whom", message.peer());
             }
-            out.writeStringField("octets", Base64.getEncoder().encodeToString(tell.content()));
-        } else if (action instanceof RoutingPolicy.LogMessage note) {
-            writeHeader(out, "trace", instance);
-            out.writeStringField("line", note.text());
+            out.writeStringField("octets", Base64.getEncoder().encodeToString(message.content()));
+        } else if (action instanceof RoutingPolicy.LogMessage logMessage) {
+            writeHeader(out, "trace", instanceId);
+            out.writeStringField("line", logMessage.text());
         } else {
             throw new IllegalStateException("no wire form for " + action);
         }
         out.writeEndObject();
     }
 
-    private static void writeHeader(JsonGenerator out, String what, int instance) throws IOException {
-        out.writeStringField("what", what);
-        out.writeNumberField("who", instance);
+    private static void writeHeader(JsonGenerator out, String type, int instanceId) throws IOException {
+        out.writeStringField("what", type);
+        out.writeNumberField("who", instanceId);
     }
 }
--- a/router/src/main/java/ledgewall/simhost/SimHost.java
+++ b/router/src/main/java/ledgewall/simhost/SimHost.java
@@ -54,12 +54,12 @@
     /**
      * Processes a batch and returns the reply, including its line break.
      *
-     * @param where the location of the batch, for error messages
+     * @param location the location of the batch, for error messages
      * @throws FormatException if the batch is malformed; there is no partial reply
      */
-    String reply(String line, String where) throws IOException {
+    String reply(String line, String location) throws IOException {
         Map<Integer, Instance> affected = new LinkedHashMap<>();
-        long now = readBatch(line, where, affected);
+        long now = readBatch(line, location, affected);
         StringWriter text = new StringWriter();
         try (JsonGenerator out = json.createGenerator(text)) {
             out.writeStartObject();
@@ -80,12 +80,12 @@
         return text.append('\n').toString();
     }
 
-    private long readBatch(String line, String where, Map<Integer, Instance> affected) throws IOException {
+    private long readBatch(String line, String location, Map<Integer, Instance> affected) throws IOException {
         Long now = null;
         List<Fields> messages = new ArrayList<>();
         try (JsonParser parser = json.createParser(line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new FormatException(where + ": no JSON object");
+                throw new FormatException(location + ": no JSON object");
             }
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
@@ -93,19 +93,19 @@
                 if (name.equals("atTimeNs") && token == JsonToken.VALUE_NUMBER_INT) {
                     now = parser.getLongValue();
                 } else if (name.equals("msgs") && token == JsonToken.START_ARRAY) {
-                    readMessages(parser, where, messages);
+                    readMessages(parser, location, messages);
                 } else {
                     parser.skipChildren();
                 }
             }
             if (parser.nextToken() != null) {
-                throw new FormatException(where + ": more than one value");
+                throw new FormatException(location + ": more than one value");
             }
         } catch (JsonProcessingException e) {
-            throw new FormatException(where + ": no JSON: " + e.getOriginalMessage());
+            throw new FormatException(location + ": no JSON: " + e.getOriginalMessage());
         }
         if (now == null) {
-            throw new FormatException(where + ": lacks 'atTimeNs'");
+            throw new FormatException(location + ": lacks 'atTimeNs'");
         }
         for (Fields message : messages) {
             handle(message, affected);
@@ -113,22 +113,22 @@
         return now;
     }
 
-    private static void readMessages(JsonParser parser, String where, List<Fields> messages) throws IOException {
+    private static void readMessages(JsonParser parser, String location, List<Fields> messages) throws IOException {
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            String location = where + ", msgs[" + messages.size() + "]";
+            String messageLocation = location + ", msgs[" + messages.size() + "]";
             if (parser.currentToken() != JsonToken.START_OBJECT) {
-                throw new FormatException(location + ": no object");
+                throw new FormatException(messageLocation + ": no object");
             }
-            messages.add(Fields.read(parser, location));
+            messages.add(Fields.read(parser, messageLocation));
         }
     }
 
     private void handle(Fields message, Map<Integer, Instance> affected) {
-        String what = message.text("what");
-        switch (what) {
+        String type = message.text("what");
+        switch (type) {
             case "defineList" -> lists.put(message.integer("rosterId"), Codec.listings(message));
             case "begin" -> {
-                int who = (int) message.integer("who");
+                int instanceId = (int) message.integer("who");
                 if (!message.has("info")) {
                     throw new FormatException(message.location() + ": lacks 'info'");
                 }
@@ -136,29 +136,29 @@
                 RoutingPolicy policy = factory.create(SettingsReader.settings(info), message.integer("salt"));
                 long originNs = info.object("domain").integer("originTimeNs", 0);
                 Instance instance = new Instance(policy, originNs, new ArrayList<>());
-                instances.put(who, instance);
-                affected.put(who, instance);
+                instances.put(instanceId, instance);
+                affected.put(instanceId, instance);
             }
             case "teardown" -> {
-                int who = (int) message.integer("who");
-                instances.remove(who);
-                affected.remove(who);
+                int instanceId = (int) message.integer("who");
+                instances.remove(instanceId);
+                affected.remove(instanceId);
             }
-            default -> deliver(what, message, affected);
+            default -> deliver(type, message, affected);
         }
     }
 
-    private void deliver(String what, Fields message, Map<Integer, Instance> affected) {
+    private void deliver(String type, Fields message, Map<Integer, Instance> affected) {
         Instance instance = instances.get((int) message.integer("who", -1));
-        RoutingPolicy.Event event = what.equals("directoryUpdate")
-            ? memberList(message) : Codec.event(what, message, instance == null ? 0 : instance.originNs());
+        RoutingPolicy.Event event = type.equals("directoryUpdate")
+            ? memberList(message) : Codec.event(type, message, instance == null ? 0 : instance.originNs());
         if (event == null) {
-            return; // unknown kind of message
+            return; // unknown type of message
         }
-        int who = (int) message.integer("who");
+        int instanceId = (int) message.integer("who");
         if (instance != null) { // otherwise the instance has been torn down
             instance.events().add(event);
-            affected.put(who, instance);
+            affected.put(instanceId, instance);
         }
     }
 
