--- a/core/src/main/java/ledgewall/ReplicaRoutingPolicy.java
+++ b/core/src/main/java/ledgewall/ReplicaRoutingPolicy.java
@@ -472,11 +472,11 @@
 
     private Member pickForWrite(Request request) {
         Group group = request.group;
-        Member known = group.primary;
-        if (known != null) {
-            return isHealthy(known) && hasCapacity(request, known, 1) && isPermitted(request, known) ? known : null;
+        Member primary = group.primary;
+        if (primary != null) {
+            return isHealthy(primary) && hasCapacity(request, primary, 1) && isPermitted(request, primary) ? primary : null;
         }
-        // Where only answers to requests tell the primary, a queued write is sent to a member at intervals; a replica refuses it.
+        // Where only answers to requests show the primary, a queued write is sent to a member at intervals; a replica refuses it.
         if (settings.replication().probesReportRole() && settings.limits().probing() || now < group.nextPrimaryTrialAt
                 || request.attempts.size() + 1 >= settings.limits().maxAttempts()) {
             return null;
@@ -500,7 +500,7 @@
         if (freshness.usesPositionProbe(request) && waitsForPosition(request)) {
             return null;
         }
-        // The primary comes last; if no member seems healthy, the health state and not all members is assumed to be wrong.
+        // The primary comes last. If no member seems healthy, the health state is assumed to be wrong, and members are tried.
         boolean allUnhealthy = group.members.stream().noneMatch(this::isHealthy);
         return candidates(request, allUnhealthy
             ? m -> freshness.isEligible(request, m, now) && now >= m.lastTrialAt + TRIAL_INTERVAL
