--- a/cli/src/main/java/ledgewall/cli/RuleClassifier.java
+++ b/cli/src/main/java/ledgewall/cli/RuleClassifier.java
@@ -73,16 +73,16 @@
         }
         long waitMs = decision.maxWaitNs() < 0 ? defaultWaitMsByClass.get(decision.requestClass())
             : Math.max(1, decision.maxWaitNs() / NANOS_PER_MILLISECOND);
-        Classification classified = new Classification(decision.requestClass(),
+        Classification classification = new Classification(decision.requestClass(),
             decision.tenant() == null ? "" : decision.tenant(),
             Math.max(0, decision.group()), decision.session(), waitMs, decision.retry());
         String limitKey = decision.limitKey();
         if (limitKey == null) {
-            return new Known(classified, null);
+            return new Known(classification, null);
         }
         Limiter limiter = limitersByRule.get(decision.ruleName());
         return limiter.admit(limitKey, request.now()) == Limiter.Admission.ADMITTED
-            ? new Known(classified, () -> limiter.release(limitKey))
+            ? new Known(classification, () -> limiter.release(limitKey))
             : new Limited(Math.max(NANOS_PER_MILLISECOND, limiter.retryAfterNs(limitKey, request.now())));
     }
 
--- a/expression/src/main/java/ledgewall/expression/Compiler.java
+++ b/expression/src/main/java/ledgewall/expression/Compiler.java
@@ -13,7 +13,7 @@
 /**
  * Compiles a checked expression into a tree of {@link Code} objects that call one another. The functions that conditions
  * on requests use most (comparisons, prefixes, set membership, map keys) have specialized code that allocates nothing;
- * every other function is called through its {@link Function.Body}.
+ * every other function is called through its {@link Function.Implementation}.
  */
 final class Compiler {
     /** Code of shared expressions by slot: each is compiled once, however many expressions refer to it. */
@@ -239,8 +239,8 @@
         });
     }
 
-    /** Calls a function through its body, with all arguments as objects; the first argument that fails is the result. */
-    private static Code generic(Function.Implementation body, Code[] argumentCodes) {
+    /** Calls a function with all arguments as objects; the first argument that fails is the result. */
+    private static Code generic(Function.Implementation implementation, Code[] argumentCodes) {
         return objectCode(frame -> {
             Object[] arguments = new Object[argumentCodes.length];
             for (int i = 0; i < argumentCodes.length; i++) {
@@ -249,7 +249,7 @@
                     return null;
                 }
             }
-            Object result = body.of(arguments);
+            Object result = implementation.of(arguments);
             if (result instanceof ErrorKind error) {
                 frame.error(error);
                 return null;
--- a/expression/src/main/java/ledgewall/expression/Frame.java
+++ b/expression/src/main/java/ledgewall/expression/Frame.java
@@ -17,8 +17,8 @@
     private long generation = 1;
     /** Variables of comprehensions by slot: the current list element while a body is evaluated. */
     private Object[] variables = new Object[0];
-    /** The {@link Expressions} whose results {@link #shared} holds, since slots of different ones are unrelated. */
-    private Object owner;
+    /** The {@link ExpressionEnvironment} whose results {@link #shared} holds, since slots of different ones are unrelated. */
+    private Object environment;
     private ErrorKind error;
 
     public Frame(Schema schema) {
@@ -63,11 +63,11 @@
 
     /**
      * Allocates the slots for a program's shared expressions and comprehension variables. Results that were stored for
-     * another owner become invalid.
+     * another environment become invalid.
      */
-    void reserve(Object newOwner, int sharedSlots, int variableSlots) {
-        if (newOwner != owner) {
-            owner = newOwner;
+    void reserve(Object newEnvironment, int sharedSlots, int variableSlots) {
+        if (newEnvironment != environment) {
+            environment = newEnvironment;
             generation++;
         }
         if (shared.length < sharedSlots) {
--- a/expression/src/main/java/ledgewall/expression/Functions.java
+++ b/expression/src/main/java/ledgewall/expression/Functions.java
@@ -406,10 +406,12 @@
 
     // ---- Conversions
 
-    private static void addConversion(String name, Type from, Type to, String meaning, SizeRule sizing, Implementation body) {
-        add(new Function(name, Form.FUNCTION, from + ": " + to, meaning, "1 and a 16th of both", exactly(to, from), sizing,
+    private static void addConversion(String name, Type from, Type to, String meaning, SizeRule sizeRule,
+        Implementation implementation) {
+        add(new Function(name, Form.FUNCTION, from + ": " + to, meaning, "1 and a 16th of both", exactly(to, from), sizeRule,
             (s, result) -> Size.plus(Costs.charSteps(s.get(0).count()), Costs.charSteps(result.count())),
-            (s, result) -> Size.plus(Costs.stringBytes(s.get(0).count()), Costs.stringBytes(result.count())), body, NO_CHECK));
+            (s, result) -> Size.plus(Costs.stringBytes(s.get(0).count()), Costs.stringBytes(result.count())), implementation,
+            NO_CHECK));
     }
 
     private static void conversions() {
--- a/expression/src/main/java/ledgewall/expression/Program.java
+++ b/expression/src/main/java/ledgewall/expression/Program.java
@@ -13,11 +13,11 @@
     private final int sharedSlots;
     private final int variableSlots;
     private final boolean needsSlots;
-    /** The {@link Expressions} that assigned the slots: slots of different ones are unrelated. */
-    private final Object owner;
+    /** The {@link ExpressionEnvironment} that assigned the slots: slots of different ones are unrelated. */
+    private final Object environment;
 
-    Program(String source, Node node, Cost cost, Code code, int sharedSlots, int variableSlots, Object owner) {
-        this.owner = owner;
+    Program(String source, Node node, Cost cost, Code code, int sharedSlots, int variableSlots, Object environment) {
+        this.environment = environment;
         this.source = source;
         this.node = node;
         this.cost = cost;
@@ -90,7 +90,7 @@
 
     /** Evaluates the expression for a request to its value, or to an {@link ErrorKind}. */
     public Object evaluate(Frame frame) {
-        frame.reserve(owner, sharedSlots, variableSlots);
+        frame.reserve(environment, sharedSlots, variableSlots);
         frame.error(null);
         Object value = code.object(frame);
         return value == null ? frame.error() : value;
@@ -99,7 +99,7 @@
     /** Whether a condition holds for a request. False if the evaluation fails too: {@link #error} tells the two apart. */
     public boolean matches(Frame frame) {
         if (needsSlots) {
-            frame.reserve(owner, sharedSlots, variableSlots);
+            frame.reserve(environment, sharedSlots, variableSlots);
         }
         frame.error(null);
         return code.bool(frame) == 1;
@@ -115,7 +115,7 @@
 
     /** Evaluates with the interpreter and counts the actual cost; meant for tests and diagnostics. */
     public Evaluation evaluateAndCount(Frame frame) {
-        frame.reserve(owner, sharedSlots, variableSlots);
+        frame.reserve(environment, sharedSlots, variableSlots);
         Interpreter interpreter = new Interpreter(frame, new Object[variableSlots]);
         Object value = interpreter.evaluate(node);
         return new Evaluation(value, interpreter.cost());
--- a/expression/src/main/java/ledgewall/rules/RuleTable.java
+++ b/expression/src/main/java/ledgewall/rules/RuleTable.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import ledgewall.expression.Cost;
 import ledgewall.expression.ErrorKind;
-import ledgewall.expression.ExpressionException;
 import ledgewall.expression.ExpressionEnvironment;
+import ledgewall.expression.ExpressionException;
 import ledgewall.expression.Frame;
 import ledgewall.expression.Limits;
 import ledgewall.expression.Program;
@@ -51,11 +51,11 @@
      */
     public static RuleTable of(Schema schema, Limits limits, Map<String, String> namedExpressions, List<Rule> rules,
             Set<String> classes) throws RuleException {
-        ExpressionEnvironment expressions = new ExpressionEnvironment(schema, limits);
+        ExpressionEnvironment environment = new ExpressionEnvironment(schema, limits);
         for (Map.Entry<String, String> entry : namedExpressions.entrySet()) {
             String location = "expression \"" + entry.getKey() + "\"";
             try {
-                expressions.define(entry.getKey(), entry.getValue());
+                environment.define(entry.getKey(), entry.getValue());
             } catch (ExpressionException e) {
                 throw new RuleException(location, entry.getValue(), e);
             }
@@ -69,9 +69,9 @@
             if (!names.add(rule.name())) {
                 throw new RuleException("rule \"" + rule.name() + "\"", "another rule has this name");
             }
-            compiledRules.add(compileRule(rule, expressions, classes));
+            compiledRules.add(compileRule(rule, environment, classes));
         }
-        List<Program> conditions = expressions.shareCommonSubexpressions(
+        List<Program> conditions = environment.shareCommonSubexpressions(
             compiledRules.stream().map(CompiledRule::match).toList());
         for (int i = 0; i < compiledRules.size(); i++) {
             CompiledRule compiled = compiledRules.get(i);
@@ -80,10 +80,10 @@
         return new RuleTable(schema, compiledRules);
     }
 
-    private static CompiledRule compileRule(Rule rule, ExpressionEnvironment expressions, Set<String> classes)
+    private static CompiledRule compileRule(Rule rule, ExpressionEnvironment environment, Set<String> classes)
             throws RuleException {
         String location = "rule \"" + rule.name() + "\"";
-        Program match = compile(location + ", match", rule.match(), Type.BOOL, expressions);
+        Program match = compile(location + ", match", rule.match(), Type.BOOL, environment);
         if (!classes.contains(rule.requestClass())) {
             throw new RuleException(location + ", class", "no class '" + rule.requestClass() + "'; there are "
                 + String.join(", ", classes.stream().sorted().toList()));
@@ -92,21 +92,21 @@
         for (Map.Entry<Output, String> entry : rule.outputs().entrySet()) {
             String name = entry.getKey().name().toLowerCase(java.util.Locale.ROOT);
             outputs.put(entry.getKey(), compile(location + ", " + name, entry.getValue(), OUTPUT_TYPES.get(entry.getKey()),
-                expressions));
+                environment));
         }
         String limitError = rule.limit() == null ? null : rule.limit().validationError();
         if (limitError != null) {
             throw new RuleException(location + ", limit", limitError);
         }
         Program key = rule.limitKey() == null ? null
-            : compile(location + ", limit, key", rule.limitKey(), Type.STRING, expressions);
+            : compile(location + ", limit, key", rule.limitKey(), Type.STRING, environment);
         return new CompiledRule(rule, match, outputs, key);
     }
 
-    private static Program compile(String location, String source, Type expectedType, ExpressionEnvironment expressions)
+    private static Program compile(String location, String source, Type expectedType, ExpressionEnvironment environment)
             throws RuleException {
         try {
-            Program program = expressions.compile(source);
+            Program program = environment.compile(source);
             if (!program.type().equals(expectedType)) {
                 throw new RuleException(location, "is to be " + expectedType + ", this is " + program.type() + ": "
                     + source.strip());
