--- a/cli/src/main/java/ledgewall/cli/Ledgewall.java
+++ b/cli/src/main/java/ledgewall/cli/Ledgewall.java
@@ -82,15 +82,15 @@
             if (config == null) {
                 throw new FormatException("no CONFIG given, and ROUTER_CONFIG is not set");
             }
-            new Service(config, rules, rules == null ? null : (settings, previous) -> {
+            new Service(config, rules, rules == null ? null : (routerConfig, previous) -> {
                 try {
-                    RulesFile file = RulesFile.read(rules, RulesCommand.classNames(settings));
+                    RulesFile file = RulesFile.read(rules, RulesCommand.classNames(routerConfig));
                     file.table().warnings().forEach(warning -> LOG.atWarn().addKeyValue("file", rules).log(warning));
                     LOG.atInfo().addKeyValue("file", rules).addKeyValue("rules", file.table().size()).log("rules are read");
                     if (previous instanceof RuleClassifier previousClassifier) {
                         LOG.atInfo().addKeyValue("matches", previousClassifier.matchCounts()).log("the rules before are over");
                     }
-                    return new RuleClassifier(file, settings, (RuleClassifier) previous);
+                    return new RuleClassifier(file, routerConfig, (RuleClassifier) previous);
                 } catch (SettingsException e) {
                     throw new FormatException(e.getMessage());
                 }
@@ -124,16 +124,16 @@
         @Override
         public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
-            RouterConfig settings = null;
+            RouterConfig routerConfig = null;
             int exitCode = 0;
             for (Path file : files) {
                 try {
                     if (file.toString().endsWith(".json")) {
-                        settings = RouterConfig.read(file);
-                        out.println(file + ": ok, " + settings.vocabulary().classes().size() + " classes, "
-                            + settings.knownList().members().size() + " members known");
+                        routerConfig = RouterConfig.read(file);
+                        out.println(file + ": ok, " + routerConfig.vocabulary().classes().size() + " classes, "
+                            + routerConfig.knownList().members().size() + " members known");
                     } else {
-                        RulesFile rules = RulesFile.read(file, RulesCommand.classNames(settings));
+                        RulesFile rules = RulesFile.read(file, RulesCommand.classNames(routerConfig));
                         rules.table().warnings().forEach(warning -> out.println(file + ": warning: " + warning));
                         out.println(file + ": ok, " + rules.table().size() + " rules");
                     }
--- a/cli/src/main/java/ledgewall/cli/RulesCommand.java
+++ b/cli/src/main/java/ledgewall/cli/RulesCommand.java
@@ -35,11 +35,11 @@
     }
 
     /** The names of the classes in a configuration. */
-    static Set<String> classNames(RouterConfig settings) throws SettingsException {
-        if (settings == null) {
+    static Set<String> classNames(RouterConfig config) throws SettingsException {
+        if (config == null) {
             throw new SettingsException("rules are checked against the classes of a configuration: name one before them");
         }
-        return new TreeSet<>(settings.vocabulary().classes());
+        return new TreeSet<>(config.vocabulary().classes());
     }
 
     private static RuleTable loadTable(Path config, Path rules) throws IOException, SettingsException {
--- a/expression/src/main/java/ledgewall/expression/Bytecode.java
+++ b/expression/src/main/java/ledgewall/expression/Bytecode.java
@@ -69,22 +69,22 @@
     }
 
     /** Generates the code, or returns null if no part is inlinable or there are too many parts. */
-    static Code compile(Node.Logical logic, Compiler compiler) {
-        if (leafCount(logic) > MAX_PARTS || logic.operands().stream().noneMatch(Bytecode::isInlinable)) {
+    static Code compile(Node.Logical logical, Compiler compiler) {
+        if (leafCount(logical) > MAX_PARTS || logical.operands().stream().noneMatch(Bytecode::isInlinable)) {
             return null;
         }
-        return new Bytecode(compiler).generate(logic);
+        return new Bytecode(compiler).generate(logical);
     }
 
     /** The number of parts that are not a conjunction or disjunction themselves. */
     private static int leafCount(Node node) {
-        return node instanceof Node.Logical logic ? logic.operands().stream().mapToInt(Bytecode::leafCount).sum() : 1;
+        return node instanceof Node.Logical logical ? logical.operands().stream().mapToInt(Bytecode::leafCount).sum() : 1;
     }
 
     /** Whether a node is a test that can be emitted inline, or contains one. */
     private static boolean isInlinable(Node node) {
-        if (node instanceof Node.Logical logic) {
-            return logic.operands().stream().anyMatch(Bytecode::isInlinable);
+        if (node instanceof Node.Logical logical) {
+            return logical.operands().stream().anyMatch(Bytecode::isInlinable);
         }
         if (!(node instanceof Node.Call call)) {
             return false;
@@ -102,7 +102,7 @@
             && call.arguments().get(1) instanceof Node.Constant;
     }
 
-    private Code generate(Node.Logical logic) {
+    private Code generate(Node.Logical logical) {
         ClassWriter writer = new ClassWriter(ClassWriter.COMPUTE_FRAMES | ClassWriter.COMPUTE_MAXS) {
             @Override
             protected String getCommonSuperClass(String a, String b) {
@@ -119,7 +119,7 @@
         constructor.visitEnd();
         method = writer.visitMethod(0, "bool", "(L" + FRAME + ";)I", null, null);
         method.visitCode();
-        emit(logic, true);
+        emit(logical, true);
         method.visitInsn(IRETURN);
         method.visitMaxs(0, 0);
         method.visitEnd();
@@ -171,8 +171,8 @@
      * {@code positive} is false.
      */
     private void emit(Node node, boolean positive) {
-        if (node instanceof Node.Logical logic) {
-            emitLogic(logic);
+        if (node instanceof Node.Logical logical) {
+            emitLogical(logical);
             negateUnless(positive);
         } else if (node instanceof Node.Call call && call.function().name().equals("!")) {
             emit(call.arguments().get(0), !positive);
@@ -210,14 +210,14 @@
      * Emits the parts in order. The first decisive value ends the evaluation; otherwise the first error, if there is one, is
      * the result.
      */
-    private void emitLogic(Node.Logical logic) {
-        int decisive = logic.isConjunction() ? 0 : 1;
+    private void emitLogical(Node.Logical logical) {
+        int decisive = logical.isConjunction() ? 0 : 1;
         int error = nextLocal++;
         int value = nextLocal++;
         Label end = new Label();
         method.visitInsn(ACONST_NULL);
         method.visitVarInsn(ASTORE, error);
-        for (Node part : logic.operands()) {
+        for (Node part : logical.operands()) {
             Label next = new Label();
             Label errorSaved = new Label();
             Label undecided = new Label();
--- a/expression/src/main/java/ledgewall/expression/Compiler.java
+++ b/expression/src/main/java/ledgewall/expression/Compiler.java
@@ -36,13 +36,14 @@
             int slot = variable.slot();
             return objectCode(frame -> frame.variable(slot));
         }
-        if (node instanceof Node.Logical logic) {
-            Code generated = generatedClasses < MAX_GENERATED_CLASSES ? Bytecode.compile(logic, this) : null;
+        if (node instanceof Node.Logical logical) {
+            Code generated = generatedClasses < MAX_GENERATED_CLASSES ? Bytecode.compile(logical, this) : null;
             generatedClasses += generated == null ? 0 : 1;
-            return generated != null ? generated : logic(logic.isConjunction(), compile(logic.operands()));
+            return generated != null ? generated : logical(logical.isConjunction(), compile(logical.operands()));
         }
-        if (node instanceof Node.Conditional choice) {
-            return choice(choice, compile(choice.condition()), compile(choice.whenTrue()), compile(choice.whenFalse()));
+        if (node instanceof Node.Conditional conditional) {
+            return conditional(conditional, compile(conditional.condition()), compile(conditional.whenTrue()),
+                compile(conditional.whenFalse()));
         }
         if (node instanceof Node.Call call) {
             Code specialized = specialized(call);
@@ -54,8 +55,9 @@
         if (node instanceof Node.MapLiteral map) {
             return map(map.keys(), compile(map.values()));
         }
-        if (node instanceof Node.Comprehension loop) {
-            return Loops.compile(loop.macro(), loop.slot(), compile(loop.list()), compile(loop.body()));
+        if (node instanceof Node.Comprehension comprehension) {
+            return Loops.compile(comprehension.macro(), comprehension.slot(), compile(comprehension.list()),
+                compile(comprehension.body()));
         }
         Node.SharedExpression sharedNode = (Node.SharedExpression) node;
         Code body = shared.get(sharedNode.slot());
@@ -150,7 +152,7 @@
      * A conjunction or disjunction. The first part whose value decides the result ends the evaluation; the first error is
      * the result only if no part decides.
      */
-    private static Code logic(boolean conjunction, Code[] parts) {
+    private static Code logical(boolean conjunction, Code[] parts) {
         int decisive = conjunction ? 0 : 1;
         return new Code.Bool() {
             @Override
@@ -175,7 +177,7 @@
         };
     }
 
-    private static Code choice(Node.Conditional node, Code condition, Code whenTrue, Code whenFalse) {
+    private static Code conditional(Node.Conditional node, Code condition, Code whenTrue, Code whenFalse) {
         if (node.type() == Type.BOOL) {
             return boolCode(frame -> {
                 int value = condition.bool(frame);
--- a/expression/src/main/java/ledgewall/expression/Interpreter.java
+++ b/expression/src/main/java/ledgewall/expression/Interpreter.java
@@ -43,11 +43,11 @@
         if (node instanceof Node.Call call) {
             return call(call);
         }
-        if (node instanceof Node.Logical logic) {
-            return logic(logic);
+        if (node instanceof Node.Logical logical) {
+            return logical(logical);
         }
-        if (node instanceof Node.Comprehension loop) {
-            return loop(loop);
+        if (node instanceof Node.Comprehension comprehension) {
+            return comprehension(comprehension);
         }
         if (node instanceof Node.ListLiteral list) {
             return list(list.elements());
@@ -72,9 +72,10 @@
             }
             return shared.get(sharedNode.slot());
         }
-        Node.Conditional choice = (Node.Conditional) node;
-        Object condition = evaluate(choice.condition());
-        return Values.isError(condition) ? condition : evaluate((Boolean) condition ? choice.whenTrue() : choice.whenFalse());
+        Node.Conditional conditional = (Node.Conditional) node;
+        Object condition = evaluate(conditional.condition());
+        return Values.isError(condition) ? condition
+            : evaluate((Boolean) condition ? conditional.whenTrue() : conditional.whenFalse());
     }
 
     private Object call(Node.Call call) {
@@ -92,18 +93,18 @@
         return result;
     }
 
-    private Object logic(Node.Logical logic) {
+    private Object logical(Node.Logical logical) {
         steps++;
         Object error = null;
-        for (Node part : logic.operands()) {
+        for (Node part : logical.operands()) {
             Object value = evaluate(part);
             if (Values.isError(value)) {
                 error = error == null ? value : error;
-            } else if ((Boolean) value != logic.isConjunction()) {
+            } else if ((Boolean) value != logical.isConjunction()) {
                 return value;
             }
         }
-        return error != null ? error : (Object) logic.isConjunction();
+        return error != null ? error : (Object) logical.isConjunction();
     }
 
     private Object list(List<Node> elements) {
@@ -127,31 +128,31 @@
         return map;
     }
 
-    private Object loop(Node.Comprehension loop) {
-        Object range = evaluate(loop.list());
+    private Object comprehension(Node.Comprehension comprehension) {
+        Object range = evaluate(comprehension.list());
         if (Values.isError(range)) {
             steps++;
             return range;
         }
         List<?> list = (List<?>) range;
-        charge(Cost.ofComprehension(loop.macro(), list.size()));
-        return switch (loop.macro()) {
-            case ALL, EXISTS -> allOrExists(loop, list, loop.macro() == Node.Macro.ALL);
-            case EXISTS_ONE -> existsOne(loop, list);
-            case FILTER, MAP -> filterOrMap(loop, list);
+        charge(Cost.ofComprehension(comprehension.macro(), list.size()));
+        return switch (comprehension.macro()) {
+            case ALL, EXISTS -> allOrExists(comprehension, list, comprehension.macro() == Node.Macro.ALL);
+            case EXISTS_ONE -> existsOne(comprehension, list);
+            case FILTER, MAP -> filterOrMap(comprehension, list);
         };
     }
 
-    private Object evaluateBody(Node.Comprehension loop, Object element) {
+    private Object evaluateBody(Node.Comprehension comprehension, Object element) {
         steps++;
-        variables[loop.slot()] = element;
-        return evaluate(loop.body());
+        variables[comprehension.slot()] = element;
+        return evaluate(comprehension.body());
     }
 
-    private Object allOrExists(Node.Comprehension loop, List<?> list, boolean isAll) {
+    private Object allOrExists(Node.Comprehension comprehension, List<?> list, boolean isAll) {
         Object error = null;
         for (Object element : list) {
-            Object value = evaluateBody(loop, element);
+            Object value = evaluateBody(comprehension, element);
             if (Values.isError(value)) {
                 error = error == null ? value : error;
             } else if ((Boolean) value != isAll) {
@@ -161,10 +162,10 @@
         return error != null ? error : (Object) isAll;
     }
 
-    private Object existsOne(Node.Comprehension loop, List<?> list) {
+    private Object existsOne(Node.Comprehension comprehension, List<?> list) {
         int count = 0;
         for (Object element : list) {
-            Object value = evaluateBody(loop, element);
+            Object value = evaluateBody(comprehension, element);
             if (Values.isError(value)) {
                 return value;
             }
@@ -173,15 +174,15 @@
         return count == 1;
     }
 
-    private Object filterOrMap(Node.Comprehension loop, List<?> list) {
+    private Object filterOrMap(Node.Comprehension comprehension, List<?> list) {
         List<Object> results = new ArrayList<>();
         for (Object element : list) {
-            Object value = evaluateBody(loop, element);
+            Object value = evaluateBody(comprehension, element);
             if (Values.isError(value)) {
                 return value;
             }
-            if (loop.macro() == Node.Macro.MAP || (Boolean) value) {
-                results.add(loop.macro() == Node.Macro.MAP ? value : element);
+            if (comprehension.macro() == Node.Macro.MAP || (Boolean) value) {
+                results.add(comprehension.macro() == Node.Macro.MAP ? value : element);
             }
         }
         return results;
